--- a/bin/garnet-bench/src/fleet.rs
+++ b/bin/garnet-bench/src/fleet.rs
@@ -5,8 +5,9 @@
 use std::time::Instant;
 
 use garnet_control::{
-    BackendRecord, BackendRegistration, BackendState, ByRank, Configuration, ConfigurationChange,
-    EngineObservation, LoadDigest, MembersHash, PromptCopy, ToldDigest, UNTOLD_START, WatchUpdate,
+    BackendRecord, BackendRegistration, BackendState, Configuration, ConfigurationChange,
+    EngineObservation, GatewayDigest, LoadDigest, MembersHash, PriorityCounts, PromptCopy,
+    UNTOLD_START, WatchUpdate,
 };
 use garnet_forwarding::{
     Arrival, BudgetShare, Forwarder, ForwarderSettings, Prompt, PromptPart, ReportedLimit, Work,
@@ -226,20 +227,20 @@
     LIMIT.parse().map_err(|error: RateError| error.to_string())
 }
 
-fn digest(gateway: &Forwarder, busy: usize) -> ToldDigest {
+fn digest(gateway: &Forwarder, busy: usize) -> GatewayDigest {
     let members = MembersHash::of(gateway.backend_ids());
     let known = gateway.known_backends();
     let one_of = (known / busy.max(1)).max(1);
     let state = |place: usize| match place % one_of {
         0 => BackendState {
             requests: 2,
-            uncached: ByRank::at(2, 4_000),
+            uncached: PriorityCounts::at(2, 4_000),
             held_tokens: 20_000,
             is_failing: false,
         },
         _ => BackendState::default(),
     };
-    ToldDigest {
+    GatewayDigest {
         digest: LoadDigest::encode(members, (0..known).map(state)),
         counted: None,
     }
--- a/components/control-shell/src/metrics.rs
+++ b/components/control-shell/src/metrics.rs
@@ -191,9 +191,9 @@
         let earlier = replica.earlier_processes();
         self.earlier_processes.set(gauge_value(earlier as u64));
         let usage = &replica.state().usage;
-        self.usage_untold.set(usage.untold().len() as i64);
+        self.usage_untold.set(usage.unreported().len() as i64);
         self.usage_open.set(usage.open_windows() as i64);
-        let tenure = replica.state().tenures.present();
+        let tenure = replica.state().tenures.current();
         let token = tenure.map_or(0, |tenure| tenure.token);
         self.duty_token.set(gauge_value(token));
         self.looked_at.set(gauge_value(replica.looked_at()));
--- a/components/control/src/balancing.rs
+++ b/components/control/src/balancing.rs
@@ -158,7 +158,7 @@
     }
 
     /// Engines that were looked at since this was asked last.
-    pub(crate) fn take_looked_at(&mut self) -> u64 {
+    pub(crate) fn take_examined(&mut self) -> u64 {
         std::mem::take(&mut self.looked_at)
     }
 
--- a/components/control/src/command.rs
+++ b/components/control/src/command.rs
@@ -150,7 +150,7 @@
     /// Notes requests that have come close to being refused.
     NoteSuspects(Vec<SuspectedRequest>),
     /// Notes what the platform's list says of machines.
-    NoteMachines(Vec<MachineNote>),
+    NoteMachines(Vec<MachineUpdate>),
     /// Forgets back ends whose machines are gone.
     ForgetMachines(Vec<BackendId>),
     /// Each member reads entries of this version. The entry is of that version itself, so
@@ -160,7 +160,7 @@
 
 /// What the platform's list says of one machine.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct MachineNote {
+pub struct MachineUpdate {
     /// How the back end on it introduces itself.
     pub registration: BackendRegistration,
     /// State of the machine.
--- a/components/control/src/configuration.rs
+++ b/components/control/src/configuration.rs
@@ -56,7 +56,7 @@
 impl BackendRegistration {
     /// This registration, with the start of `former` where it has none: a source of the list
     /// may omit it.
-    pub(crate) fn after(&self, former: &BackendRegistration) -> BackendRegistration {
+    pub(crate) fn with_known_start(&self, former: &BackendRegistration) -> BackendRegistration {
         let start = match self.start {
             UNTOLD_START => former.start,
             told => told,
@@ -80,14 +80,14 @@
 impl EngineObservation {
     /// Whether another start of the engine was seen than `former` tells of: it
     /// holds and knows nothing of before.
-    pub fn is_another_start(&self, former: &EngineObservation) -> bool {
+    pub fn is_restart_of(&self, former: &EngineObservation) -> bool {
         let told = [self.incarnation, former.incarnation];
         !told.contains(&UNTOLD_START) && self.incarnation != former.incarnation
     }
 
     /// What is known after `former`: one of several that speak of an engine may not
     /// tell its start.
-    pub(crate) fn after(&self, former: Option<&EngineObservation>) -> EngineObservation {
+    pub(crate) fn with_known_start(&self, former: Option<&EngineObservation>) -> EngineObservation {
         let start = match self.incarnation {
             UNTOLD_START => former.map_or(UNTOLD_START, |former| former.incarnation),
             told => told,
@@ -99,8 +99,8 @@
     }
 
     /// Whether it says anything that `former` does not.
-    pub(crate) fn is_news_after(&self, former: Option<&EngineObservation>) -> bool {
-        former != Some(&self.after(former))
+    pub(crate) fn adds_to(&self, former: Option<&EngineObservation>) -> bool {
+        former != Some(&self.with_known_start(former))
     }
 }
 
--- a/components/control/src/whole.rs
+++ b/components/control/src/configuration_transfer.rs
@@ -110,25 +110,25 @@
 
 /// What becomes of a part.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum TakenPart {
+pub enum PartOutcome {
     /// Another one is to be asked for.
     Next(PartRequest),
     /// It was the last one: the configuration is whole.
-    Whole(Configuration),
+    Complete(Configuration),
     /// It is not the one that was asked for.
-    LeftAside,
+    Ignored,
 }
 
 /// The gateway's side: what it has of a whole configuration so far.
 #[derive(Debug, Clone, Default)]
-pub struct Loader {
+pub struct ConfigurationLoader {
     loading: Option<Loading>,
 }
 
-impl Loader {
+impl ConfigurationLoader {
     /// Notes that the leader has the configuration of this index in parts. Gives
     /// the part to ask for, where none is under way.
-    pub fn offered(&mut self, index: u64, now: Millis) -> Option<PartRequest> {
+    pub fn on_offer(&mut self, index: u64, now: Millis) -> Option<PartRequest> {
         let loading = self.loading.as_mut();
         if let Some(loading) = loading.filter(|loading| loading.next.index == index) {
             if now.since(loading.asked_at) < PART_LOST_AFTER {
@@ -147,17 +147,17 @@
     }
 
     /// Forgets that a part was asked for: the connection is another one.
-    pub fn connected(&mut self) {
+    pub fn on_connected(&mut self) {
         if let Some(loading) = &mut self.loading {
             loading.asked_at = Millis::ZERO;
         }
     }
 
     /// Takes a part.
-    pub fn take(&mut self, part: ConfigurationPart, now: Millis) -> TakenPart {
+    pub fn take(&mut self, part: ConfigurationPart, now: Millis) -> PartOutcome {
         let awaited = self.loading.as_mut();
         let Some(loading) = awaited.filter(|loading| loading.next == part.place) else {
-            return TakenPart::LeftAside;
+            return PartOutcome::Ignored;
         };
         match part.content.into_inner() {
             PartContent::Rest(rest) => loading.configuration = rest,
@@ -170,9 +170,9 @@
         loading.next.number += 1;
         loading.asked_at = now;
         if loading.next.number < part.parts {
-            return TakenPart::Next(loading.next);
+            return PartOutcome::Next(loading.next);
         }
         let whole = self.loading.take().map(|loading| loading.configuration);
-        whole.map_or(TakenPart::LeftAside, TakenPart::Whole)
+        whole.map_or(PartOutcome::Ignored, PartOutcome::Complete)
     }
 }
--- a/components/control/src/copies.rs
+++ b/components/control/src/copies.rs
@@ -11,7 +11,7 @@
 
 use crate::configuration::Configuration;
 use crate::load_digest::MembersHash;
-use crate::messages::{CopyNews, PlacedCopy, PromptCopy};
+use crate::messages::{CopyUpdates, PositionedCopy, PromptCopy};
 
 /// Notes that are kept for gateways that were not told of them yet.
 const MOST_NOTES: usize = 4096;
@@ -67,7 +67,7 @@
 
 impl Copies {
     /// Takes the word of a gateway.
-    pub(crate) fn note(&mut self, by: &GatewayId, copies: Vec<PromptCopy>, now: Millis) {
+    pub(crate) fn record(&mut self, by: &GatewayId, copies: Vec<PromptCopy>, now: Millis) {
         for copy in copies {
             self.notes.push_back(Note {
                 noted_at: now,
@@ -84,7 +84,7 @@
 
     /// Forgets what an engine held that has started again since. Its notes stay
     /// in their places and tell nothing.
-    pub(crate) fn started_again(&mut self, engine: &BackendId) {
+    pub(crate) fn on_restart(&mut self, engine: &BackendId) {
         let is_its = |note: &&mut Note| note.backend == *engine;
         for note in self.notes.iter_mut().filter(is_its) {
             note.is_void = true;
@@ -92,11 +92,11 @@
     }
 
     /// What others told since `gateway` heard of it last, the oldest first.
-    pub(crate) fn news_for(
+    pub(crate) fn updates_for(
         &mut self,
         gateway: &GatewayId,
         configuration: &Configuration,
-    ) -> CopyNews {
+    ) -> CopyUpdates {
         self.place_all(configuration);
         let first = self.first_number();
         let from = self
@@ -114,11 +114,11 @@
             heard += 1;
             if let Some(place) = note.place.filter(|_| note.by != *gateway && !note.is_void) {
                 let prefix = note.prefix;
-                copies.push(PlacedCopy { prefix, place });
+                copies.push(PositionedCopy { prefix, place });
             }
         }
         self.heard_before.insert(gateway.clone(), heard);
-        CopyNews {
+        CopyUpdates {
             members: self.places.members,
             copies,
         }
--- a/components/control/src/duties.rs
+++ b/components/control/src/duties.rs
@@ -41,12 +41,12 @@
     }
 
     /// The present tenure.
-    pub fn present(&self) -> Option<&Tenure> {
+    pub fn current(&self) -> Option<&Tenure> {
         self.latest.first()
     }
 
     /// What a new holder has to wait for before its first call.
-    pub(crate) fn before(&self, holder: ReplicaId) -> Predecessor {
+    pub(crate) fn predecessor_of(&self, holder: ReplicaId) -> Predecessor {
         match self
             .latest
             .iter()
@@ -80,9 +80,9 @@
     /// Whether the platform refuses calls with a lower token than it has seen.
     pub fences_checked: bool,
     /// Within this time two holders must not be seen to take turns.
-    pub turns_within: Millis,
+    pub alternation_window: Millis,
     /// Longest time that a call takes; its connection is closed then.
-    pub call_time: Millis,
+    pub call_timeout: Millis,
     /// Length of the windows over which usage is told; `None` tells none.
     pub usage_window: Option<Millis>,
     /// Whether engines are bought and given back.
@@ -99,8 +99,10 @@
             Predecessor::Nobody | Predecessor::Itself => Millis::ZERO,
             // What the former holder has sent is void by its token.
             Predecessor::Another if self.fences_checked => Millis::ZERO,
-            Predecessor::Another => self.call_time + WAIT_MARGIN,
-            Predecessor::AnotherAfterItself => self.turns_within.max(self.call_time) + WAIT_MARGIN,
+            Predecessor::Another => self.call_timeout + WAIT_MARGIN,
+            Predecessor::AnotherAfterItself => {
+                self.alternation_window.max(self.call_timeout) + WAIT_MARGIN
+            }
         }
     }
 }
@@ -156,7 +158,7 @@
     }
 
     /// Whether a call that is carried out later than the next one does harm.
-    pub(crate) fn may_come_late(&self) -> bool {
+    pub(crate) fn may_arrive_late(&self) -> bool {
         match self {
             // It says the same whenever it comes.
             Duty::Usage { .. } => true,
--- a/components/control/src/encoding/v11/messages.rs
+++ b/components/control/src/encoding/v11/messages.rs
@@ -10,9 +10,9 @@
     Configuration as PresentConfiguration, ConfigurationChange as PresentChange,
 };
 use crate::encoding::NotInVersion;
-use crate::load_digest::{ToldDigest, V11Digest};
+use crate::load_digest::{GatewayDigest, V11Digest};
 use crate::messages::{
-    Backlog, ClaimRequest, ControlReply as PresentReply, CopyNews, Evidence,
+    Backlog, ClaimRequest, ControlReply as PresentReply, CopyUpdates, Evidence,
     GatewayRequest as PresentRequest, GroupView, PoolMix, PromptCopy, WatchUpdate as PresentUpdate,
 };
 use crate::shared::Shared;
@@ -168,7 +168,7 @@
         group: Option<GroupView>,
         gateways: u64,
         digest: Option<V11Digest>,
-        copies: CopyNews,
+        copies: CopyUpdates,
     },
     Claim {
         claim: ClaimCommand,
@@ -244,7 +244,7 @@
                 update: update.into(),
                 group,
                 gateways,
-                digest: digest.and_then(|digest| ToldDigest::try_from(digest).ok()),
+                digest: digest.and_then(|digest| GatewayDigest::try_from(digest).ok()),
                 copies,
                 suspects: None,
             },
--- a/components/control/src/encoding/v12.rs
+++ b/components/control/src/encoding/v12.rs
@@ -11,7 +11,7 @@
 
 use super::decoded;
 use super::v11::{BackendRecord, BackendRegistration};
-use crate::command::{Command, CommandEnvelope, MachineNote as PresentNote};
+use crate::command::{Command, CommandEnvelope, MachineUpdate as PresentNote};
 use crate::configuration::{
     Configuration as PresentConfiguration, EngineObservation, PolicyRecord, QuarantineRecord,
     Session,
@@ -32,14 +32,14 @@
 }
 
 #[derive(Debug, Serialize, Deserialize)]
-struct MachineNote {
+struct MachineUpdate {
     registration: BackendRegistration,
     state: MachineState,
     observed: Option<EngineObservation>,
 }
 
-impl From<MachineNote> for PresentNote {
-    fn from(note: MachineNote) -> Self {
+impl From<MachineUpdate> for PresentNote {
+    fn from(note: MachineUpdate) -> Self {
         PresentNote {
             registration: note.registration.into(),
             state: note.state,
@@ -57,7 +57,7 @@
     let command = match head.command {
         PUT_BACKEND => Command::PutBackend(decoded::<BackendRegistration>(payload)?.into()),
         NOTE_MACHINES => {
-            let notes = decoded::<Vec<MachineNote>>(payload)?;
+            let notes = decoded::<Vec<MachineUpdate>>(payload)?;
             Command::NoteMachines(notes.into_iter().map(Into::into).collect())
         }
         _ => return decoded(bytes),
--- a/components/control/src/fleet_health.rs
+++ b/components/control/src/fleet_health.rs
@@ -81,7 +81,7 @@
 
 impl FleetHealth {
     /// Takes what a gateway saw since it told last.
-    pub(crate) fn note(&mut self, gateway: &GatewayId, evidence: Vec<Evidence>, now: Millis) {
+    pub(crate) fn record(&mut self, gateway: &GatewayId, evidence: Vec<Evidence>, now: Millis) {
         for evidence in evidence {
             let seen = self.seen.entry(evidence.backend.clone()).or_default();
             seen.tally = seen.tally_at(now);
--- a/components/control/src/fleet_load.rs
+++ b/components/control/src/fleet_load.rs
@@ -9,11 +9,11 @@
 
 use garnet_types::{BackendId, GatewayId, Millis};
 
-use crate::by_rank::ByRank;
 use crate::configuration::Configuration;
 use crate::fleet_health::FleetHealth;
-use crate::load_digest::{BackendState, LoadDigest, MembersHash, ToldDigest};
+use crate::load_digest::{BackendState, GatewayDigest, LoadDigest, MembersHash};
 use crate::messages::{Backlog, Evidence};
+use crate::priority_counts::PriorityCounts;
 
 /// What a gateway told longer ago than this is over by now.
 const FRESH: Millis = Millis(1000);
@@ -58,7 +58,7 @@
 
 impl FleetLoad {
     /// Takes the word of a gateway.
-    pub(crate) fn note(
+    pub(crate) fn record(
         &mut self,
         gateway: &GatewayId,
         sent_at: Millis,
@@ -66,7 +66,7 @@
         evidence: Vec<Evidence>,
         now: Millis,
     ) {
-        self.health.note(gateway, evidence, now);
+        self.health.record(gateway, evidence, now);
         let report = Report {
             heard_at: now,
             sent_at,
@@ -81,7 +81,7 @@
         gateway: &GatewayId,
         configuration: &Configuration,
         now: Millis,
-    ) -> Option<ToldDigest> {
+    ) -> Option<GatewayDigest> {
         if self.members.0 != configuration.index {
             let members = MembersHash::of(configuration.backends.keys());
             self.members = (configuration.index, members);
@@ -97,7 +97,7 @@
         }
         let made = self.made.as_ref()?;
         let told = self.told.insert(gateway.clone(), made.number);
-        (told != Some(made.number)).then(|| ToldDigest {
+        (told != Some(made.number)).then(|| GatewayDigest {
             digest: made.digest.clone(),
             counted: made.counted.get(gateway).copied(),
         })
@@ -120,7 +120,7 @@
             BackendState {
                 is_failing,
                 requests: sum.map_or(0, |sum| sum.requests),
-                uncached: sum.map_or(ByRank::default(), |sum| sum.uncached),
+                uncached: sum.map_or(PriorityCounts::default(), |sum| sum.uncached),
                 held_tokens: sum.map_or(0, |sum| sum.held_tokens),
             }
         };
@@ -156,7 +156,7 @@
     }
 
     /// Forgets how requests ended at a back end that has started again since.
-    pub(crate) fn started_again(&mut self, backend: &BackendId) {
+    pub(crate) fn on_restart(&mut self, backend: &BackendId) {
         self.health.keep(|id| id != backend);
     }
 
@@ -172,7 +172,7 @@
             let none = Backlog {
                 backend: backlog.backend.clone(),
                 requests: 0,
-                uncached: ByRank::default(),
+                uncached: PriorityCounts::default(),
                 held_tokens: 0,
             };
             sums.insert(backlog.backend.clone(), none);
--- a/components/control/src/fleet_sizing.rs
+++ b/components/control/src/fleet_sizing.rs
@@ -75,7 +75,7 @@
 
 impl FleetSizing {
     /// Takes the platform's list.
-    pub(crate) fn see(&mut self, machines: &[MachineEntry], now: Millis) {
+    pub(crate) fn update_machines(&mut self, machines: &[MachineEntry], now: Millis) {
         for service in self.seen.values_mut() {
             service
                 .zones
@@ -110,7 +110,7 @@
     }
 
     /// Engines that are given back as soon as others serve in their place.
-    pub(crate) fn given_back(
+    pub(crate) fn engines_to_release(
         &self,
         routes: &RouteTable,
         needed: &BTreeMap<ServiceId, u32>,
@@ -213,7 +213,7 @@
     }
 
     /// An order leaves now.
-    pub(crate) fn ordered(&mut self, duty: &Duty, now: Millis) {
+    pub(crate) fn on_order_sent(&mut self, duty: &Duty, now: Millis) {
         if let Some((key, engines)) = OrderKey::of(duty) {
             let ordered = Ordered {
                 engines: Some(engines),
@@ -225,7 +225,7 @@
     }
 
     /// An order was answered.
-    pub(crate) fn answered(&mut self, duty: &Duty, answer: DutyAnswer, now: Millis) {
+    pub(crate) fn on_answer(&mut self, duty: &Duty, answer: DutyAnswer, now: Millis) {
         if answer == DutyAnswer::Done {
             return;
         }
--- a/components/control/src/gateways.rs
+++ b/components/control/src/gateways.rs
@@ -34,7 +34,7 @@
     /// Until then none of those ends.
     held_until: Millis,
     /// Leases that counting has looked at so far.
-    looked_at: u64,
+    leases_examined: u64,
 }
 
 impl GatewayLeases {
@@ -90,7 +90,7 @@
             let (count, first) = held.fold((0, Millis::NEVER), |(count, first), end| {
                 (count + 1, first.min(end))
             });
-            self.looked_at += self.leases.len() as u64;
+            self.leases_examined += self.leases.len() as u64;
             self.held = count;
             self.held_until = first;
         }
@@ -98,8 +98,8 @@
     }
 
     /// Leases that counting has looked at so far.
-    pub fn looked_at(&self) -> u64 {
-        self.looked_at
+    pub fn leases_examined(&self) -> u64 {
+        self.leases_examined
     }
 
     /// The leases for a status page, with the version of each gateway.
--- a/components/control/src/group_step.rs
+++ b/components/control/src/group_step.rs
@@ -29,7 +29,7 @@
 
 /// One member as the leader sees it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct MemberFacts {
+pub struct MemberStatus {
     /// Its identity.
     pub id: ReplicaId,
     /// Where peers reach it.
@@ -57,11 +57,11 @@
 
 /// Decides the next step.
 pub fn next_step(
-    members: &[MemberFacts],
+    members: &[MemberStatus],
     candidates: &[JoinRequest],
     settings: GroupSettings,
 ) -> Option<GroupStep> {
-    let replaced = |member: &&MemberFacts| {
+    let replaced = |member: &&MemberStatus| {
         let has_its_address = |candidate: &&JoinRequest| {
             candidate.peer_address == member.peer_address && candidate.id != member.id
         };
@@ -89,7 +89,7 @@
             return Some(GroupStep::Remove(voter.id));
         }
     }
-    let forgotten = |member: &&MemberFacts| {
+    let forgotten = |member: &&MemberStatus| {
         !member.voter && !member.is_leader && member.silent_for >= FORGET_LEARNER_AFTER
     };
     let learner = members.iter().find(forgotten)?;
--- a/components/control/src/lib.rs
+++ b/components/control/src/lib.rs
@@ -8,10 +8,10 @@
 
 mod answer;
 mod balancing;
-mod by_rank;
 mod claims;
 mod command;
 mod configuration;
+mod configuration_transfer;
 mod copies;
 mod duties;
 mod effects;
@@ -27,33 +27,36 @@
 mod planner_settings;
 mod planning;
 mod pool_census;
+mod priority_counts;
 mod reconciler;
 mod replica;
 mod shared;
 mod state;
 mod usage;
 mod watch;
-mod whole;
 
 pub use answer::{ClaimAnswer, CommandAnswer};
-pub use by_rank::{ByRank, LAST_RANK};
 pub use claims::{CLAIM_RETENTION, ClaimState, Claims, MAX_CLAIMS, MAX_RECORDED_BYTES};
-pub use command::{ClaimCommand, Command, CommandEnvelope, MachineNote};
+pub use command::{ClaimCommand, Command, CommandEnvelope, MachineUpdate};
 pub use garnet_types::UNTOLD_START;
+pub use priority_counts::{LOWEST_PRIORITY, PriorityCounts};
 
 pub use configuration::{
     BackendRecord, BackendRegistration, Configuration, ConfigurationChange, EngineObservation,
     OutstandingOrder, PolicyRecord, QuarantineRecord, Session,
 };
+pub use configuration_transfer::{
+    ConfigurationLoader, ConfigurationPart, PartContent, PartOutcome, PartRequest,
+};
 pub use duties::{Duty, DutyAnswer, DutyCall, DutySettings, Tenure, Tenures};
 pub use effects::{Effect, EngineRequest, Event, Halted, MachineEntry};
 pub use encoding::{DecodedEntry, EntryError, LogEncoding, NotInVersion, encode_entry, v11};
 pub use gateways::{CONFIGURATION_LEASE, GatewayLeases};
-pub use group_step::{GroupSettings, GroupStep, MemberFacts, next_step};
-pub use load_digest::{BackendState, LoadDigest, MembersHash, PlacedState, ToldDigest};
+pub use group_step::{GroupSettings, GroupStep, MemberStatus, next_step};
+pub use load_digest::{BackendState, GatewayDigest, LoadDigest, MembersHash, PositionedState};
 pub use messages::{
-    Backlog, ClaimRequest, ControlReply, CopyNews, Evidence, GatewayRequest, GroupView,
-    JoinRequest, LimitUpdate, PlacedCopy, PoolMix, PromptCopy, WatchUpdate,
+    Backlog, ClaimRequest, ControlReply, CopyUpdates, Evidence, GatewayRequest, GroupView,
+    JoinRequest, LimitUpdate, PoolMix, PositionedCopy, PromptCopy, WatchUpdate,
 };
 pub use operator::{
     GatewayView, MemberChange, MemberView, OperatorAnswer, OperatorRequest, StatusView,
@@ -64,4 +67,3 @@
 pub use shared::Shared;
 pub use state::{ControlState, STATE_FORMAT, StateDecodeError, SuspectRecord};
 pub use usage::{Usage, UsageCount, UsageReceipt, UsageReport, WindowCounts, usage_interval};
-pub use whole::{ConfigurationPart, Loader, PartContent, PartRequest, TakenPart};
--- a/components/control/src/load_digest.rs
+++ b/components/control/src/load_digest.rs
@@ -19,7 +19,7 @@
 use serde_bytes::ByteBuf;
 use xxhash_rust::xxh3::Xxh3;
 
-use crate::by_rank::ByRank;
+use crate::priority_counts::PriorityCounts;
 
 mod v11;
 
@@ -69,7 +69,7 @@
     /// Requests under way.
     pub requests: u64,
     /// Prompt tokens that it has yet to prefill.
-    pub uncached: ByRank,
+    pub uncached: PriorityCounts,
     /// Tokens of KV cache that these requests hold, or will hold.
     pub held_tokens: u64,
     /// Whether requests of several gateways failed there.
@@ -109,8 +109,8 @@
 
 impl From<Entry> for BackendState {
     fn from(entry: Entry) -> Self {
-        let mut uncached = ByRank::default();
-        let ranks = ByRank::ranks().filter(|rank| entry.marks & (1 << rank) != 0);
+        let mut uncached = PriorityCounts::default();
+        let ranks = PriorityCounts::priorities().filter(|rank| entry.marks & (1 << rank) != 0);
         for (rank, units) in ranks.zip(entry.uncached_units) {
             uncached.add(rank, units * TOKENS_PER_UNIT);
         }
@@ -125,9 +125,9 @@
 
 /// A back end that is told of.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct PlacedState {
+pub struct PositionedState {
     /// Its place among the back ends.
-    pub place: usize,
+    pub position: usize,
     /// What is under way there.
     pub state: BackendState,
 }
@@ -176,7 +176,7 @@
 
     /// The back ends that have work or are failing, in their order; `None` where the
     /// digest is of others, or can't be read.
-    pub fn states(&self, members: MembersHash) -> Option<Vec<PlacedState>> {
+    pub fn states(&self, members: MembersHash) -> Option<Vec<PositionedState>> {
         if !self.is_of(members) {
             return None;
         }
@@ -185,10 +185,10 @@
         let (entries, _) = decoded.ok()?;
         let mut next = 0;
         let placed = |entry: Entry| {
-            let place = next + entry.skipped as usize;
-            next = place + 1;
+            let position = next + entry.skipped as usize;
+            next = position + 1;
             let state = BackendState::from(entry);
-            PlacedState { place, state }
+            PositionedState { position, state }
         };
         Some(entries.into_iter().map(placed).collect())
     }
@@ -196,7 +196,7 @@
 
 /// A digest for one gateway.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ToldDigest {
+pub struct GatewayDigest {
     /// The same for all.
     pub digest: LoadDigest,
     /// When the gateway sent the report that is counted in it, by its own
--- a/components/control/src/load_digest/v11.rs
+++ b/components/control/src/load_digest/v11.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Serialize};
 use serde_bytes::ByteBuf;
 
-use super::{BackendState, Entry, LoadDigest, MembersHash, ToldDigest};
+use super::{BackendState, Entry, GatewayDigest, LoadDigest, MembersHash};
 use crate::encoding::{decoded, encoded};
 
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
@@ -48,7 +48,7 @@
 
 impl V11Digest {
     /// The digest; `None` where the entries can't be read.
-    pub(crate) fn of(told: &ToldDigest) -> Option<Self> {
+    pub(crate) fn of(told: &GatewayDigest) -> Option<Self> {
         let entries: Vec<Entry> = decoded(&told.digest.entries).ok()?;
         let idle = |count: u32| std::iter::repeat_n(DenseEntry::default(), count as usize);
         let mut dense = Vec::new();
@@ -65,13 +65,13 @@
     }
 }
 
-impl TryFrom<V11Digest> for ToldDigest {
+impl TryFrom<V11Digest> for GatewayDigest {
     type Error = String;
 
     fn try_from(digest: V11Digest) -> Result<Self, String> {
         let dense: Vec<DenseEntry> = decoded(&digest.entries)?;
         let states = dense.into_iter().map(BackendState::from);
-        Ok(ToldDigest {
+        Ok(GatewayDigest {
             digest: LoadDigest::encode(digest.members, states),
             counted: digest.counted,
         })
--- a/components/control/src/messages.rs
+++ b/components/control/src/messages.rs
@@ -8,13 +8,13 @@
 use serde::{Deserialize, Serialize};
 
 use crate::answer::ClaimAnswer;
-use crate::by_rank::ByRank;
 use crate::command::ClaimCommand;
 use crate::configuration::{Configuration, ConfigurationChange};
-use crate::load_digest::{MembersHash, ToldDigest};
+use crate::configuration_transfer::{ConfigurationPart, PartRequest};
+use crate::load_digest::{GatewayDigest, MembersHash};
+use crate::priority_counts::PriorityCounts;
 use crate::shared::Shared;
 use crate::usage::{UsageReceipt, UsageReport};
-use crate::whole::{ConfigurationPart, PartRequest};
 
 /// What a gateway saw offered for one pool since its last report.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -41,7 +41,7 @@
     /// Requests under way.
     pub requests: u64,
     /// Prompt tokens that it has yet to prefill.
-    pub uncached: ByRank,
+    pub uncached: PriorityCounts,
     /// Tokens of KV cache that these requests hold, or will hold.
     pub held_tokens: u64,
 }
@@ -70,7 +70,7 @@
 
 /// A copy whose engine is told by its place in the configuration.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PlacedCopy {
+pub struct PositionedCopy {
     /// The prefix.
     pub prefix: PrefixId,
     /// Place of the engine.
@@ -79,11 +79,11 @@
 
 /// Copies that other gateways told of.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct CopyNews {
+pub struct CopyUpdates {
     /// The back ends whose places are named.
     pub members: MembersHash,
     /// The copies, the oldest first.
-    pub copies: Vec<PlacedCopy>,
+    pub copies: Vec<PositionedCopy>,
 }
 
 /// A claim, its release or its result.
@@ -253,9 +253,9 @@
         /// Gateways that hold a lease: budgets are shared among them.
         gateways: u64,
         /// Load and health of all back ends; `None` leaves what was told before.
-        digest: Option<ToldDigest>,
+        digest: Option<GatewayDigest>,
         /// Copies that other gateways told of since this one heard last.
-        copies: CopyNews,
+        copies: CopyUpdates,
         /// Requests under which engines ended; `None` leaves what was told before.
         suspects: Option<Suspects>,
     },
--- a/components/control/src/by_rank.rs
+++ b/components/control/src/priority_counts.rs
@@ -5,19 +5,19 @@
 use serde::{Deserialize, Serialize};
 
 /// The least urgent rank that engines tell apart; 0 is the most urgent.
-pub const LAST_RANK: u8 = 9;
+pub const LOWEST_PRIORITY: u8 = 9;
 /// Ranks that engines tell apart.
-const RANKS: usize = LAST_RANK as usize + 1;
+const RANKS: usize = LOWEST_PRIORITY as usize + 1;
 
 /// Numbers by rank. Engines take the more urgent first, so a request waits for
 /// those of its own rank and of the ranks before.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ByRank([u64; RANKS]);
+pub struct PriorityCounts([u64; RANKS]);
 
-impl ByRank {
+impl PriorityCounts {
     /// A number at one rank.
     pub fn at(rank: u8, number: u64) -> Self {
-        let mut ranked = ByRank::default();
+        let mut ranked = PriorityCounts::default();
         ranked.add(rank, number);
         ranked
     }
@@ -34,17 +34,17 @@
     }
 
     /// All ranks, the most urgent first.
-    pub fn ranks() -> impl Iterator<Item = u8> {
-        0..=LAST_RANK
+    pub fn priorities() -> impl Iterator<Item = u8> {
+        0..=LOWEST_PRIORITY
     }
 
     /// Each rank with its number.
     pub fn iter(&self) -> impl Iterator<Item = (u8, u64)> {
-        Self::ranks().zip(self.0)
+        Self::priorities().zip(self.0)
     }
 
     /// The number at a rank.
-    pub fn of_rank(&self, rank: u8) -> u64 {
+    pub fn count_at(&self, rank: u8) -> u64 {
         self.0[index(rank)]
     }
 
@@ -59,7 +59,7 @@
     }
 }
 
-impl AddAssign for ByRank {
+impl AddAssign for PriorityCounts {
     fn add_assign(&mut self, other: Self) {
         for (sum, number) in self.0.iter_mut().zip(other.0) {
             *sum += number;
@@ -68,5 +68,5 @@
 }
 
 fn index(rank: u8) -> usize {
-    usize::from(rank.min(LAST_RANK))
+    usize::from(rank.min(LOWEST_PRIORITY))
 }
--- a/components/control/src/reconciler.rs
+++ b/components/control/src/reconciler.rs
@@ -55,7 +55,7 @@
 }
 
 /// The present for one look at an engine.
-pub(crate) struct Present<'a> {
+pub(crate) struct StepContext<'a> {
     pub(crate) configuration: &'a Configuration,
     pub(crate) census: &'a PoolCensus<'a>,
     pub(crate) gateways: &'a GatewayLeases,
@@ -74,8 +74,8 @@
 pub(crate) struct Reconciler {
     polling: EnginePolling,
     tracks: BTreeMap<BackendId, EngineTrack>,
-    /// See [`Reconciler::follow`].
-    concerned: BTreeSet<BackendId>,
+    /// See [`Reconciler::update`].
+    engines_to_check: BTreeSet<BackendId>,
 }
 
 impl Reconciler {
@@ -87,9 +87,9 @@
         let mut reconciler = Reconciler {
             polling,
             tracks: BTreeMap::new(),
-            concerned: BTreeSet::new(),
+            engines_to_check: BTreeSet::new(),
         };
-        backends.for_each(|record| reconciler.follow(record));
+        backends.for_each(|record| reconciler.update(record));
         reconciler
     }
 
@@ -106,14 +106,14 @@
     }
 
     /// Forgets what an engine told of itself: it has started again since.
-    pub(crate) fn started_again(&mut self, engine: &BackendId) {
+    pub(crate) fn on_restart(&mut self, engine: &BackendId) {
         if let Some(track) = self.tracks.get_mut(engine) {
             track.status = None;
         }
     }
 
     /// Notes that a command about the engine was proposed.
-    pub(crate) fn proposed(&mut self, engine: &BackendId, index: u64) {
+    pub(crate) fn on_proposed(&mut self, engine: &BackendId, index: u64) {
         self.tracks
             .entry(engine.clone())
             .or_default()
@@ -121,7 +121,7 @@
     }
 
     /// Whether a command about the engine is under way.
-    pub(crate) fn awaits(&self, engine: &BackendId, applied_index: u64) -> bool {
+    pub(crate) fn has_pending_command(&self, engine: &BackendId, applied_index: u64) -> bool {
         let track = self.tracks.get(engine);
         track.is_some_and(|track| track.awaiting_index > applied_index)
     }
@@ -129,35 +129,35 @@
     /// Follows what has become of a back end. Something may have to be done about
     /// engines that are asked for their state, are out for an order, or are not what
     /// they shall be.
-    pub(crate) fn follow(&mut self, record: &BackendRecord) {
+    pub(crate) fn update(&mut self, record: &BackendRecord) {
         let id = &record.registration.id;
         let is_engine = record.registration.kind == BackendKind::Engine;
         let asks_all = self.polling == EnginePolling::Always;
         if is_engine && (asks_all || record.order.is_some() || !is_as_desired(record)) {
-            self.concerned.insert(id.clone());
+            self.engines_to_check.insert(id.clone());
         } else {
-            self.concerned.remove(id);
+            self.engines_to_check.remove(id);
         }
     }
 
     /// Forgets a back end that is gone.
     pub(crate) fn forget(&mut self, id: &BackendId) {
-        self.concerned.remove(id);
+        self.engines_to_check.remove(id);
     }
 
     /// The engines that something may have to be done about. What is remembered of
     /// all others is forgotten.
-    pub(crate) fn concerned(&mut self, applied_index: u64) -> Vec<BackendId> {
-        let concerned = &self.concerned;
+    pub(crate) fn engines_to_check(&mut self, applied_index: u64) -> Vec<BackendId> {
+        let engines_to_check = &self.engines_to_check;
         self.tracks.retain(|engine, track| {
-            track.awaiting_index > applied_index || concerned.contains(engine)
+            track.awaiting_index > applied_index || engines_to_check.contains(engine)
         });
-        concerned.iter().cloned().collect()
+        engines_to_check.iter().cloned().collect()
     }
 
     /// The next steps for one engine.
-    pub(crate) fn steps(&mut self, engine: &BackendId, present: &Present<'_>) -> Vec<Step> {
-        let Some(record) = present.configuration.backends.get(engine) else {
+    pub(crate) fn steps(&mut self, engine: &BackendId, context: &StepContext<'_>) -> Vec<Step> {
+        let Some(record) = context.configuration.backends.get(engine) else {
             self.tracks.remove(engine);
             return Vec::new();
         };
@@ -167,16 +167,16 @@
         let mut steps = Vec::new();
         let track = self.tracks.entry(engine.clone()).or_default();
         let asks = self.polling == EnginePolling::Always || record.order.is_some();
-        if asks && elapsed(track.asked_at, present.now) >= POLL_INTERVAL {
-            track.asked_at = Some(present.now);
+        if asks && elapsed(track.asked_at, context.now) >= POLL_INTERVAL {
+            track.asked_at = Some(context.now);
             steps.push(Step::Ask(EngineRequest::Status));
         }
-        if track.awaiting_index > present.applied_index {
+        if track.awaiting_index > context.applied_index {
             return steps;
         }
         let next = match &record.order {
-            Some(order) => track.pursue(engine, order, present),
-            None => track.compare(engine, record, present),
+            Some(order) => track.pursue(engine, order, context),
+            None => track.compare(engine, record, context),
         };
         steps.extend(next);
         steps
@@ -195,23 +195,23 @@
         &mut self,
         engine: &BackendId,
         record: &BackendRecord,
-        present: &Present<'_>,
+        context: &StepContext<'_>,
     ) -> Option<Step> {
         self.confirmed_at = None;
         self.ordered_at = None;
-        if let Some((status, _)) = self.fresh(present.now) {
+        if let Some((status, _)) = self.fresh(context.now) {
             let observation = EngineObservation {
                 incarnation: status.incarnation,
                 assignment: status.assignment.clone(),
             };
-            if observation.is_news_after(record.observed.as_ref()) {
+            if observation.adds_to(record.observed.as_ref()) {
                 let engine = engine.clone();
                 return Some(Step::Propose(Command::Observe {
                     engine,
                     observation,
                 }));
             }
-        } else if present.polls {
+        } else if context.polls {
             return None;
         }
         let desired = record.desired.as_ref()?;
@@ -219,11 +219,11 @@
         if settled || record.machine != MachineState::Live {
             return None;
         }
-        if (present.idle)(engine) {
-            let may_leave = present.census.idle_can_spare(record);
+        if (context.idle)(engine) {
+            let may_leave = context.census.idle_can_spare(record);
             return may_leave.then(|| Step::Propose(Command::BeginIdleOrder(engine.clone())));
         }
-        let may_leave = present.census.can_spare(record);
+        let may_leave = context.census.can_spare(record);
         may_leave.then(|| Step::Propose(Command::BeginOrder(engine.clone())))
     }
 
@@ -232,10 +232,10 @@
         &mut self,
         engine: &BackendId,
         order: &OutstandingOrder,
-        present: &Present<'_>,
+        context: &StepContext<'_>,
     ) -> Option<Step> {
-        let now = present.now;
-        if order.fence.term != present.term {
+        let now = context.now;
+        if order.fence.term != context.term {
             return Some(Step::Propose(Command::RenewOrder {
                 engine: engine.clone(),
                 replaces: order.fence,
@@ -253,7 +253,7 @@
                 },
             }));
         }
-        if !self.has_drained(order, present) || elapsed(self.ordered_at, now) < ORDER_INTERVAL {
+        if !self.has_drained(order, context) || elapsed(self.ordered_at, now) < ORDER_INTERVAL {
             return None;
         }
         self.ordered_at = Some(now);
@@ -265,13 +265,13 @@
 
     /// Whether every gateway has stopped sending, and the engine said after
     /// that that nothing runs.
-    fn has_drained(&mut self, order: &OutstandingOrder, present: &Present<'_>) -> bool {
+    fn has_drained(&mut self, order: &OutstandingOrder, context: &StepContext<'_>) -> bool {
         let since = order.out_of_service_since;
-        if !present.gateways.all_confirmed(since, present.now) {
+        if !context.gateways.all_confirmed(since, context.now) {
             return false;
         }
-        let confirmed_at = *self.confirmed_at.get_or_insert(present.now);
-        self.fresh(present.now)
+        let confirmed_at = *self.confirmed_at.get_or_insert(context.now);
+        self.fresh(context.now)
             .is_some_and(|(status, at)| *at > confirmed_at && status.running == 0)
     }
 }
--- a/components/control/src/replica/duties.rs
+++ b/components/control/src/replica/duties.rs
@@ -73,7 +73,7 @@
 impl CallTrack {
     fn is_free(&self, settings: &DutySettings, now: Millis) -> bool {
         // A call whose end nobody tells of is over by then.
-        let lasts = settings.call_time + settings.call_time;
+        let lasts = settings.call_timeout + settings.call_timeout;
         let is_calling = |since: Millis| now.since(since) < lasts;
         !self.calling_since.is_some_and(is_calling) && now >= self.again_at
     }
@@ -190,7 +190,7 @@
 
     /// The token of this replica's tenure in the term that it leads.
     fn own_token(&self) -> Option<u64> {
-        let tenure = self.state.tenures.present()?;
+        let tenure = self.state.tenures.current()?;
         let is_own = tenure.holder == self.node.id() && tenure.term == self.node.status().term;
         is_own.then_some(tenure.token)
     }
@@ -202,7 +202,7 @@
         let before = *self
             .duty_track
             .before
-            .get_or_insert_with(|| tenures.before(own));
+            .get_or_insert_with(|| tenures.predecessor_of(own));
         if self.now.since(self.duty_track.led_since) < settings.wait_after(before) {
             return None;
         }
@@ -223,7 +223,7 @@
     /// Tells the oldest window that is closed and not told.
     fn tell_usage(&mut self, token: u64, settings: &DutySettings) {
         let taken = &self.duty_track.taken;
-        let mut untold = self.state.usage.untold().iter();
+        let mut untold = self.state.usage.unreported().iter();
         let next = untold.find(|(window, _)| !taken.contains(window));
         if let Some((window, counts)) = next {
             let duty = Duty::Usage {
@@ -245,7 +245,7 @@
                 SizingStep::NoteNeeded(service, engines) => self.note_needed(service, engines),
                 SizingStep::Order(duty) => {
                     if self.call(token, duty.clone(), settings) {
-                        self.sizing.ordered(&duty, self.now);
+                        self.sizing.on_order_sent(&duty, self.now);
                     }
                 }
             }
@@ -285,7 +285,7 @@
         match answer {
             DutyAnswer::Done => track.pause = SHORTEST_PAUSE,
             DutyAnswer::Throttled => track.failed(self.now),
-            DutyAnswer::Unknown if call.duty.may_come_late() => track.failed(self.now),
+            DutyAnswer::Unknown if call.duty.may_arrive_late() => track.failed(self.now),
             // Never again under this token: it was refused, or what it ordered
             // could come after what is ordered next.
             DutyAnswer::Refused | DutyAnswer::Unknown => {
@@ -296,12 +296,12 @@
         match call.duty {
             Duty::Usage { window, .. } if answer == DutyAnswer::Done => self.note_told(window),
             Duty::Usage { .. } => {}
-            Duty::Fleet { .. } => self.sizing.answered(&call.duty, answer, self.now),
+            Duty::Fleet { .. } => self.sizing.on_answer(&call.duty, answer, self.now),
         }
     }
 
     fn note_told(&mut self, window: UsageWindow) {
-        let untold = self.state.usage.untold();
+        let untold = self.state.usage.unreported();
         self.duty_track
             .taken
             .retain(|taken| untold.contains_key(taken));
--- a/components/control/src/replica/engines.rs
+++ b/components/control/src/replica/engines.rs
@@ -4,10 +4,10 @@
 
 use garnet_types::{BackendId, MachineState, Millis, OrderAnswer, UNTOLD_START};
 
-use crate::command::{Command, MachineNote};
+use crate::command::{Command, MachineUpdate};
 use crate::effects::{Effect, EngineRequest, MachineEntry};
 use crate::planning::EngineFacts;
-use crate::reconciler::{Present, Step};
+use crate::reconciler::{Step, StepContext};
 
 use super::Replica;
 use crate::reconciler::EnginePolling;
@@ -23,7 +23,7 @@
     pub(super) fn reconcile(&mut self) {
         let status = self.node.status();
         let configuration = &self.state.configuration;
-        let engines = self.reconciler.concerned(status.applied_index);
+        let engines = self.reconciler.engines_to_check(status.applied_index);
         if engines.is_empty() {
             return;
         }
@@ -35,7 +35,7 @@
             has_idle_orders
                 && balancing.is_some_and(|balancing| balancing.is_idle(configuration, engine))
         };
-        let present = Present {
+        let context = StepContext {
             configuration,
             census: &census,
             gateways: &self.gateways,
@@ -47,7 +47,7 @@
         };
         let mut steps = Vec::new();
         for engine in engines {
-            let of_engine = self.reconciler.steps(&engine, &present);
+            let of_engine = self.reconciler.steps(&engine, &context);
             steps.extend(of_engine.into_iter().map(|step| (engine.clone(), step)));
         }
         for (engine, step) in steps {
@@ -60,7 +60,7 @@
             Step::Ask(request) => self.ask_engine(engine, request),
             Step::Propose(command) => {
                 if let Some(index) = self.propose_own(command) {
-                    self.reconciler.proposed(engine, index);
+                    self.reconciler.on_proposed(engine, index);
                 }
             }
         }
@@ -112,19 +112,19 @@
         };
         let backlogs = self.fleet_load.sums(self.now);
         let configuration = &self.state.configuration;
-        let given_back = configuration
-            .routes
-            .as_ref()
-            .map(|routes| self.sizing.given_back(routes, &self.state.needed_engines));
+        let given_back = configuration.routes.as_ref().map(|routes| {
+            self.sizing
+                .engines_to_release(routes, &self.state.needed_engines)
+        });
         let mut aside = given_back.unwrap_or_default();
         // One that takes a few requests is no capacity of its phase, and a change of
         // role would not help it.
         aside.extend(self.limiting.backends().cloned());
         let changes = balancing.decide(configuration, &backlogs, aside, self.now);
-        self.looked_at += balancing.take_looked_at();
+        self.looked_at += balancing.take_examined();
         let applied = self.node.status().applied_index;
         for change in changes {
-            if self.reconciler.awaits(&change.engine, applied) {
+            if self.reconciler.has_pending_command(&change.engine, applied) {
                 continue;
             }
             let command = Command::Assign {
@@ -132,7 +132,7 @@
                 assignment: change.assignment.clone(),
             };
             if let Some(index) = self.propose_own(command) {
-                self.reconciler.proposed(&change.engine, index);
+                self.reconciler.on_proposed(&change.engine, index);
                 self.effects.push(Effect::Balanced {
                     engine: change.engine,
                     assignment: change.assignment,
@@ -154,14 +154,14 @@
         }
         let without_starts = self.without_starts(machines);
         let machines = without_starts.as_deref().unwrap_or(machines);
-        self.sizing.see(machines, self.now);
+        self.sizing.update_machines(machines, self.now);
         if self.machines_noted_at > self.node.status().applied_index {
             return;
         }
         for entry in machines {
             self.note_start(entry);
         }
-        let mut notes: Vec<MachineNote> = machines
+        let mut notes: Vec<MachineUpdate> = machines
             .iter()
             .filter_map(|entry| self.compare_machine(entry))
             .collect();
@@ -213,7 +213,7 @@
     }
 
     /// What is new of a machine, in commands that version 11 has.
-    fn propose_one_by_one(&mut self, note: &MachineNote) {
+    fn propose_one_by_one(&mut self, note: &MachineUpdate) {
         let id = &note.registration.id;
         let known = self.state.configuration.backends.get(id);
         let is_known = known.is_some_and(|record| record.registration == note.registration);
@@ -242,11 +242,11 @@
         let record = self.state.configuration.backends.get(id);
         let former = record.and_then(|record| record.observed.as_ref());
         if let (Some(now), Some(former)) = (&entry.observed, former)
-            && now.is_another_start(former)
+            && now.is_restart_of(former)
         {
-            self.reconciler.started_again(id);
-            self.copies.started_again(id);
-            self.fleet_load.started_again(id);
+            self.reconciler.on_restart(id);
+            self.copies.on_restart(id);
+            self.fleet_load.on_restart(id);
             self.limiting.started_again(id);
         }
     }
@@ -258,7 +258,7 @@
     }
 
     /// What is new of a machine, if anything.
-    fn compare_machine(&self, entry: &MachineEntry) -> Option<MachineNote> {
+    fn compare_machine(&self, entry: &MachineEntry) -> Option<MachineUpdate> {
         let known = self
             .state
             .configuration
@@ -266,17 +266,17 @@
             .get(&entry.registration.id);
         let observed = entry.observed.clone().filter(|now| {
             known.is_none_or(|record| {
-                let is_again = |former| now.is_another_start(former);
+                let is_again = |former| now.is_restart_of(former);
                 let may_tell =
                     record.order.is_none() || record.observed.as_ref().is_some_and(is_again);
-                may_tell && now.is_news_after(record.observed.as_ref())
+                may_tell && now.adds_to(record.observed.as_ref())
             })
         });
         let is_known = known.is_some_and(|record| {
-            let registration = entry.registration.after(&record.registration);
+            let registration = entry.registration.with_known_start(&record.registration);
             record.registration == registration && record.machine == entry.state
         });
-        (!is_known || observed.is_some()).then(|| MachineNote {
+        (!is_known || observed.is_some()).then(|| MachineUpdate {
             registration: entry.registration.clone(),
             state: entry.state,
             observed,
@@ -292,7 +292,7 @@
         let settings = self.settings.directory;
         let is_live = record.machine == MachineState::Live;
         if is_live && missing_for >= settings.leaving_after {
-            return Some(Missing::Leaving(MachineNote {
+            return Some(Missing::Leaving(MachineUpdate {
                 registration: record.registration.clone(),
                 state: MachineState::Leaving,
                 observed: None,
@@ -309,7 +309,7 @@
 /// What becomes of a back end that is missing from the list.
 enum Missing {
     /// It is sent nothing new.
-    Leaving(MachineNote),
+    Leaving(MachineUpdate),
     /// It is gone.
     Forgotten,
 }
--- a/components/control/src/replica/gateway_requests.rs
+++ b/components/control/src/replica/gateway_requests.rs
@@ -39,10 +39,10 @@
                 if let Some(planning) = &mut self.planning {
                     planning.add(&mix);
                 }
-                self.copies.note(&gateway, copies, self.now);
+                self.copies.record(&gateway, copies, self.now);
                 self.note_living(&evidence);
                 self.fleet_load
-                    .note(&gateway, sent_at, backlogs, evidence, self.now);
+                    .record(&gateway, sent_at, backlogs, evidence, self.now);
                 let update = self.update_for(&gateway, connection, configuration_index);
                 let reply = self.watch_reply(&gateway, connection, update, group_index, sent_at);
                 self.effects
@@ -120,7 +120,7 @@
             group,
             gateways: self.gateways.count(self.now),
             digest,
-            copies: self.copies.news_for(gateway, configuration),
+            copies: self.copies.updates_for(gateway, configuration),
             suspects: self.quarantining.news_for(gateway, connection, self.now),
         }
     }
@@ -157,7 +157,7 @@
         let is_recent = self.now.since(self.knew_leader_at) <= LAST_KNOWN_FOR;
         let is_sure = self.node.is_wholly_committed() && self.state.configuration.index > 0;
         (knows_nothing && !knows_leader && is_recent && is_sure)
-            .then(|| self.recent.whole(&self.state.configuration))
+            .then(|| self.recent.full_configuration(&self.state.configuration))
     }
 
     pub(super) fn reply_not_leader(&mut self, connection: u64) {
--- a/components/control/src/replica/group.rs
+++ b/components/control/src/replica/group.rs
@@ -7,7 +7,7 @@
 
 use super::Replica;
 use crate::effects::Effect;
-use crate::group_step::{GroupStep, MemberFacts, next_step};
+use crate::group_step::{GroupStep, MemberStatus, next_step};
 use crate::messages::JoinRequest;
 
 /// A replica that asks to join repeats it more often than this.
@@ -79,11 +79,11 @@
     }
 }
 
-fn member_facts(node: &Node) -> Vec<MemberFacts> {
+fn member_facts(node: &Node) -> Vec<MemberStatus> {
     let members = &node.membership().members;
     members
         .iter()
-        .map(|(id, member)| MemberFacts {
+        .map(|(id, member)| MemberStatus {
             id: *id,
             peer_address: member.peer_address.clone(),
             voter: member.voter,
--- a/components/control/src/replica/log.rs
+++ b/components/control/src/replica/log.rs
@@ -77,7 +77,7 @@
         let backends = self.state.configuration.backends.len();
         for change in applied.changes {
             match &change {
-                ConfigurationChange::BackendPut(record) => self.reconciler.follow(record),
+                ConfigurationChange::BackendPut(record) => self.reconciler.update(record),
                 ConfigurationChange::BackendRemoved(id) => self.reconciler.forget(id),
                 _ => {}
             }
--- a/components/control/src/state.rs
+++ b/components/control/src/state.rs
@@ -12,7 +12,7 @@
 
 use crate::answer::CommandAnswer;
 use crate::claims::Claims;
-use crate::command::{Command, CommandEnvelope, MachineNote};
+use crate::command::{Command, CommandEnvelope, MachineUpdate};
 use crate::configuration::{
     BackendRecord, BackendRegistration, Configuration, ConfigurationChange, EngineObservation,
     OutstandingOrder, PolicyRecord, QuarantineRecord, Session,
@@ -246,7 +246,7 @@
                 self.noted()
             }
             Command::UsageTold(window) => {
-                self.usage.told(*window);
+                self.usage.mark_reported(*window);
                 self.noted()
             }
             Command::QuarantineRequest {
@@ -391,7 +391,7 @@
     fn registered(&self, index: u64, registration: &BackendRegistration) -> BackendRecord {
         match self.configuration.backends.get(&registration.id) {
             Some(existing) => BackendRecord {
-                registration: registration.after(&existing.registration),
+                registration: registration.with_known_start(&existing.registration),
                 revision: index,
                 ..existing.clone()
             },
@@ -408,12 +408,12 @@
 
     /// Notes that change nothing leave no trace, so that a list that was read
     /// twice costs gateways nothing.
-    fn note_machines(&self, index: u64, notes: &[MachineNote]) -> Applied {
-        let put = |note: &MachineNote| {
+    fn note_machines(&self, index: u64, notes: &[MachineUpdate]) -> Applied {
+        let put = |note: &MachineUpdate| {
             let mut record = self.registered(index, &note.registration);
             record.machine = note.state;
             if let Some(observed) = &note.observed {
-                record.observed = Some(observed.after(record.observed.as_ref()));
+                record.observed = Some(observed.with_known_start(record.observed.as_ref()));
             }
             let held = self.configuration.backends.get(&note.registration.id);
             let is_news = held.is_none_or(|held| {
@@ -520,7 +520,7 @@
             return observation.clone();
         }
         let record = self.configuration.backends.get(engine);
-        observation.after(record.and_then(|record| record.observed.as_ref()))
+        observation.with_known_start(record.and_then(|record| record.observed.as_ref()))
     }
 
     fn edit(
--- a/components/control/src/usage.rs
+++ b/components/control/src/usage.rs
@@ -124,7 +124,7 @@
     }
 
     /// The platform has taken what is told of `window`.
-    pub(crate) fn told(&mut self, window: UsageWindow) {
+    pub(crate) fn mark_reported(&mut self, window: UsageWindow) {
         self.closed.remove(&window);
     }
 
@@ -140,7 +140,7 @@
     }
 
     /// Windows that are closed and not told, the oldest first.
-    pub fn untold(&self) -> &BTreeMap<UsageWindow, WindowCounts> {
+    pub fn unreported(&self) -> &BTreeMap<UsageWindow, WindowCounts> {
         &self.closed
     }
 
--- a/components/control/src/watch.rs
+++ b/components/control/src/watch.rs
@@ -5,9 +5,9 @@
 use garnet_types::{BackendId, GatewayId, Millis};
 
 use crate::configuration::{Configuration, ConfigurationChange};
+use crate::configuration_transfer::{BACKENDS_IN_PART, ConfigurationPart, PartRequest, Parts};
 use crate::messages::WatchUpdate;
 use crate::shared::Shared;
-use crate::whole::{BACKENDS_IN_PART, ConfigurationPart, PartRequest, Parts};
 
 /// Changes that are kept at least; more of them are kept where there are more back
 /// ends. A gateway farther behind gets everything anew, which costs less by then.
@@ -131,7 +131,7 @@
         }
         let unknown = from < self.complete_after || from > configuration.index;
         if unknown || from == 0 {
-            return self.anew(configuration);
+            return self.full_update(configuration);
         }
         WatchUpdate::Changes {
             from,
@@ -149,14 +149,16 @@
         configuration: &Configuration,
     ) -> WatchUpdate {
         match self.update_for(from, configuration) {
-            WatchUpdate::Parts { .. } => WatchUpdate::Snapshot(self.whole(configuration)),
+            WatchUpdate::Parts { .. } => {
+                WatchUpdate::Snapshot(self.full_configuration(configuration))
+            }
             update => update,
         }
     }
 
-    fn anew(&mut self, configuration: &Configuration) -> WatchUpdate {
+    fn full_update(&mut self, configuration: &Configuration) -> WatchUpdate {
         if configuration.backends.len() <= BACKENDS_IN_PART {
-            return WatchUpdate::Snapshot(self.whole(configuration));
+            return WatchUpdate::Snapshot(self.full_configuration(configuration));
         }
         let index = self.parts(configuration).index();
         WatchUpdate::Parts { index }
@@ -193,7 +195,7 @@
     }
 
     /// The configuration as a whole.
-    pub fn whole(&mut self, configuration: &Configuration) -> Shared<Configuration> {
+    pub fn full_configuration(&mut self, configuration: &Configuration) -> Shared<Configuration> {
         let same = |whole: &&Shared<Configuration>| whole.index == configuration.index;
         if let Some(whole) = self.whole.as_ref().filter(same) {
             return whole.clone();
--- a/components/control/tests/mending/world.rs
+++ b/components/control/tests/mending/world.rs
@@ -95,8 +95,8 @@
     pub fn with_usage(seed: u64, fences_checked: bool) -> Self {
         let settings = DutySettings {
             fences_checked,
-            turns_within: TURNS_WITHIN,
-            call_time: CALL_TIME,
+            alternation_window: TURNS_WITHIN,
+            call_timeout: CALL_TIME,
             usage_window: Some(WINDOW),
             buys_engines: false,
         };
--- a/components/control/tests/state/balancing.rs
+++ b/components/control/tests/state/balancing.rs
@@ -2,8 +2,8 @@
 
 use crate::leader::Leader;
 use garnet_control::{
-    BackendRegistration, Backlog, ByRank, Effect, EngineObservation, EnginePolling, Event,
-    GatewayRequest, MachineEntry, ReplicaSettings, UNTOLD_START,
+    BackendRegistration, Backlog, Effect, EngineObservation, EnginePolling, Event, GatewayRequest,
+    MachineEntry, PriorityCounts, ReplicaSettings, UNTOLD_START,
 };
 use garnet_limits::{LimitReport, LimitReports};
 use garnet_planner::BalanceSettings;
@@ -61,7 +61,7 @@
     let backlog = |number| Backlog {
         backend: BackendId::new(format!("engine-{number}")),
         requests: u64::from(uncached > 0),
-        uncached: ByRank::at(0, uncached),
+        uncached: PriorityCounts::at(0, uncached),
         held_tokens: uncached,
     };
     told((0..engines).map(backlog).collect())
@@ -213,7 +213,7 @@
         Backlog {
             backend: BackendId::new(format!("engine-{number}")),
             requests: if generates { requests } else { 1 },
-            uncached: ByRank::at(0, u64::from(!generates && prefill) * 9_000),
+            uncached: PriorityCounts::at(0, u64::from(!generates && prefill) * 9_000),
             held_tokens: if generates { requests * 2_000 } else { 9_000 },
         }
     };
@@ -306,7 +306,7 @@
     let backlog = |number: usize| Backlog {
         backend: BackendId::new(format!("engine-{number}")),
         requests: 3,
-        uncached: ByRank::at(0, if number < 40 { 9_000 } else { 0 }),
+        uncached: PriorityCounts::at(0, if number < 40 { 9_000 } else { 0 }),
         held_tokens: 9_000,
     };
     told((0..60).map(backlog).collect())
--- a/components/control/tests/state/whole.rs
+++ b/components/control/tests/state/configuration_transfer.rs
@@ -7,8 +7,8 @@
 //! ended by their memory or lost their lease.
 
 use garnet_control::{
-    Configuration, ConfigurationPart, ControlReply, Event, GatewayRequest, Loader, MachineEntry,
-    PartRequest, TakenPart, WatchUpdate,
+    Configuration, ConfigurationLoader, ConfigurationPart, ControlReply, Event, GatewayRequest,
+    MachineEntry, PartOutcome, PartRequest, WatchUpdate,
 };
 use garnet_types::{MachineState, Millis};
 
@@ -58,8 +58,8 @@
     let WatchUpdate::Parts { index } = update(&offer) else {
         panic!("{offer:?}");
     };
-    let mut loader = Loader::default();
-    let mut next = loader.offered(*index, leader.now);
+    let mut loader = ConfigurationLoader::default();
+    let mut next = loader.on_offer(*index, leader.now);
     loop {
         let place = next.expect("a part is to be asked for");
         let answer = reply(leader, GatewayRequest::Part(place));
@@ -68,9 +68,9 @@
             panic!("{answer:?}");
         };
         match loader.take(part, leader.now) {
-            TakenPart::Next(place) => next = Some(place),
-            TakenPart::Whole(configuration) => return (configuration, longest),
-            TakenPart::LeftAside => panic!("{place:?} is left aside"),
+            PartOutcome::Next(place) => next = Some(place),
+            PartOutcome::Complete(configuration) => return (configuration, longest),
+            PartOutcome::Ignored => panic!("{place:?} is left aside"),
         }
         between(leader);
     }
@@ -143,8 +143,8 @@
 #[test]
 fn a_part_that_does_not_come_is_asked_for_again() {
     let mut leader = knows(2_000);
-    let mut loader = Loader::default();
-    let first = loader.offered(7, leader.now);
+    let mut loader = ConfigurationLoader::default();
+    let first = loader.on_offer(7, leader.now);
     assert_eq!(
         first,
         Some(PartRequest {
@@ -152,11 +152,11 @@
             number: 0
         })
     );
-    assert_eq!(loader.offered(7, leader.now), None);
-    loader.connected();
-    assert_eq!(loader.offered(7, leader.now), first);
+    assert_eq!(loader.on_offer(7, leader.now), None);
+    loader.on_connected();
+    assert_eq!(loader.on_offer(7, leader.now), first);
     leader.now = leader.now + Millis::from_secs(1);
-    assert_eq!(loader.offered(7, leader.now), first);
+    assert_eq!(loader.on_offer(7, leader.now), first);
 }
 
 #[test]
@@ -177,9 +177,9 @@
     let ControlReply::Part(Some(part)) = answer else {
         panic!("{answer:?}");
     };
-    let mut loader = Loader::default();
-    loader.offered(index, leader.now);
-    assert_eq!(loader.take(part.clone(), leader.now), TakenPart::LeftAside);
+    let mut loader = ConfigurationLoader::default();
+    loader.on_offer(index, leader.now);
+    assert_eq!(loader.take(part.clone(), leader.now), PartOutcome::Ignored);
     let resent: ConfigurationPart = part;
-    assert_eq!(loader.take(resent, leader.now), TakenPart::LeftAside);
+    assert_eq!(loader.take(resent, leader.now), PartOutcome::Ignored);
 }
--- a/components/control/tests/state/copies.rs
+++ b/components/control/tests/state/copies.rs
@@ -1,7 +1,7 @@
 //! Copies of prompt prefixes, as the leader passes them on.
 
 use garnet_control::{
-    BackendRegistration, Command, ControlReply, CopyNews, Event, GatewayRequest, MembersHash,
+    BackendRegistration, Command, ControlReply, CopyUpdates, Event, GatewayRequest, MembersHash,
     PromptCopy, UNTOLD_START,
 };
 use garnet_types::{BackendId, BackendKind, GatewayId, Millis, PrefixId, ServiceId};
@@ -45,9 +45,9 @@
 }
 
 /// News with the names of the engines.
-fn named(news: &CopyNews) -> Vec<PromptCopy> {
+fn named(news: &CopyUpdates) -> Vec<PromptCopy> {
     assert_eq!(news.members, MembersHash::of(ids().iter()));
-    let copy = |copy: &garnet_control::PlacedCopy| PromptCopy {
+    let copy = |copy: &garnet_control::PositionedCopy| PromptCopy {
         prefix: copy.prefix,
         backend: ids()[usize::from(copy.place)].clone(),
     };
--- a/components/control/tests/state/duties.rs
+++ b/components/control/tests/state/duties.rs
@@ -17,8 +17,8 @@
     ReplicaSettings {
         duties: Some(DutySettings {
             fences_checked,
-            turns_within: Millis(3000),
-            call_time: Millis(1500),
+            alternation_window: Millis(3000),
+            call_timeout: Millis(1500),
             usage_window: Some(WINDOW),
             buys_engines: false,
         }),
@@ -150,7 +150,7 @@
     let mut leader = Leader::elected(settings(fences_checked), held_by(holders));
     let led_since = leader.now;
     let begins = |leader: &Leader| {
-        let present = leader.replica.state().tenures.present();
+        let present = leader.replica.state().tenures.current();
         present.is_some_and(|tenure| tenure.token > holders.len() as u64)
     };
     while !begins(&leader) {
--- a/components/control/tests/state/fleet_size.rs
+++ b/components/control/tests/state/fleet_size.rs
@@ -52,8 +52,8 @@
     ReplicaSettings {
         duties: Some(DutySettings {
             fences_checked: true,
-            turns_within: Millis(3000),
-            call_time: Millis(1500),
+            alternation_window: Millis(3000),
+            call_timeout: Millis(1500),
             usage_window: None,
             buys_engines: true,
         }),
--- a/components/control/tests/state/gateway_leases.rs
+++ b/components/control/tests/state/gateway_leases.rs
@@ -25,7 +25,7 @@
             assert_eq!(leases.count(now), known);
         }
     }
-    leases.looked_at()
+    leases.leases_examined()
 }
 
 #[test]
--- a/components/control/tests/state/group.rs
+++ b/components/control/tests/state/group.rs
@@ -1,13 +1,13 @@
 //! How the leader mends the group: the next step, from what it sees.
 
-use garnet_control::{GroupSettings, GroupStep, JoinRequest, MemberFacts, next_step};
+use garnet_control::{GroupSettings, GroupStep, JoinRequest, MemberStatus, next_step};
 use garnet_types::{Millis, ReplicaId};
 use rstest::rstest;
 
 const FIVE: GroupSettings = GroupSettings { voters: 5 };
 
-fn voter(id: u64) -> MemberFacts {
-    MemberFacts {
+fn voter(id: u64) -> MemberStatus {
+    MemberStatus {
         id: ReplicaId(id),
         peer_address: format!("10.0.0.{id}:7380"),
         voter: true,
@@ -17,15 +17,15 @@
     }
 }
 
-fn silent(id: u64, for_ms: u64) -> MemberFacts {
-    MemberFacts {
+fn silent(id: u64, for_ms: u64) -> MemberStatus {
+    MemberStatus {
         silent_for: Millis(for_ms),
         ..voter(id)
     }
 }
 
-fn learner(id: u64, caught_up: bool) -> MemberFacts {
-    MemberFacts {
+fn learner(id: u64, caught_up: bool) -> MemberStatus {
+    MemberStatus {
         voter: false,
         caught_up,
         ..voter(id)
@@ -40,7 +40,7 @@
     }
 }
 
-fn voters(ids: &[u64]) -> Vec<MemberFacts> {
+fn voters(ids: &[u64]) -> Vec<MemberStatus> {
     ids.iter().map(|id| voter(*id)).collect()
 }
 
@@ -56,9 +56,9 @@
 #[case::silent_with_a_learner_behind([voters(&[1, 2, 3, 4]), vec![silent(5, 60_000), learner(6, false)]].concat(), vec![], None)]
 #[case::silent_and_replaced([voters(&[1, 2, 3, 4]), vec![silent(5, 60_000), learner(6, true)]].concat(), vec![], Some(GroupStep::Remove(ReplicaId(5))))]
 #[case::silent_for_a_moment([voters(&[1, 2, 3, 4]), vec![silent(5, 1_000), learner(6, true)]].concat(), vec![], None)]
-#[case::forgotten_learner([voters(&[1, 2, 3, 4, 5]), vec![MemberFacts { silent_for: Millis(60_000), ..learner(6, true) }]].concat(), vec![], Some(GroupStep::Remove(ReplicaId(6))))]
+#[case::forgotten_learner([voters(&[1, 2, 3, 4, 5]), vec![MemberStatus { silent_for: Millis(60_000), ..learner(6, true) }]].concat(), vec![], Some(GroupStep::Remove(ReplicaId(6))))]
 fn the_next_step(
-    #[case] members: Vec<MemberFacts>,
+    #[case] members: Vec<MemberStatus>,
     #[case] candidates: Vec<JoinRequest>,
     #[case] step: Option<GroupStep>,
 ) {
--- a/components/control/tests/state/load_digest.rs
+++ b/components/control/tests/state/load_digest.rs
@@ -1,8 +1,9 @@
 //! The digest of load and health that the leader makes for all gateways.
 
 use garnet_control::{
-    BackendRegistration, BackendState, Backlog, ByRank, Command, ControlReply, Effect, Event,
-    Evidence, GatewayRequest, LoadDigest, MembersHash, PlacedState, ToldDigest, UNTOLD_START,
+    BackendRegistration, BackendState, Backlog, Command, ControlReply, Effect, Event, Evidence,
+    GatewayDigest, GatewayRequest, LoadDigest, MembersHash, PositionedState, PriorityCounts,
+    UNTOLD_START,
 };
 use garnet_types::{BackendId, BackendKind, GatewayId, Millis, ServiceId};
 use proptest::prelude::*;
@@ -45,7 +46,7 @@
     Backlog {
         backend: id(number),
         requests,
-        uncached: ByRank::at(3, tokens),
+        uncached: PriorityCounts::at(3, tokens),
         held_tokens: tokens,
     }
 }
@@ -64,7 +65,7 @@
     gateway: &str,
     backlogs: Vec<Backlog>,
     evidence: Vec<Evidence>,
-) -> Option<ToldDigest> {
+) -> Option<GatewayDigest> {
     let request = GatewayRequest::Watch {
         gateway: GatewayId::new(gateway),
         configuration_index: 1,
@@ -91,12 +92,12 @@
         .expect("an answer")
 }
 
-fn states(told: &ToldDigest) -> Vec<BackendState> {
+fn states(told: &GatewayDigest) -> Vec<BackendState> {
     let members = MembersHash::of(ids().iter());
     let told = told.digest.states(members).expect("the same back ends");
     let mut states = vec![BackendState::default(); BACKENDS];
-    for PlacedState { place, state } in told {
-        states[place] = state;
+    for PositionedState { position, state } in told {
+        states[position] = state;
     }
     states
 }
@@ -139,7 +140,7 @@
     assert_eq!(to_b.counted, Some(first_sent));
     let state = states(&to_a)[1];
     assert_eq!((state.requests, state.held_tokens), (4, 64_640));
-    assert_eq!(state.uncached, ByRank::at(3, 64_640));
+    assert_eq!(state.uncached, PriorityCounts::at(3, 64_640));
     // Nobody is told the same digest twice.
     assert_eq!(watch(&mut leader, "a", Vec::new(), Vec::new()), None);
 }
@@ -220,7 +221,7 @@
         tokens in proptest::collection::vec(0_u64..60_000, 3),
         held in 0_u64..400_000,
     ) {
-        let mut uncached = ByRank::default();
+        let mut uncached = PriorityCounts::default();
         for (rank, tokens) in (0_u8..).zip(&tokens) {
             uncached.add(rank * 4, *tokens);
         }
@@ -258,7 +259,7 @@
     let state = |place: usize| match place % one_of {
         0 => BackendState {
             requests: 3,
-            uncached: ByRank::at(2, 6_400),
+            uncached: PriorityCounts::at(2, 6_400),
             held_tokens: 64_000,
             is_failing: false,
         },
@@ -284,7 +285,7 @@
     let told = digest_of(100, 30)
         .states(members)
         .expect("the same back ends");
-    let places: Vec<usize> = told.iter().map(|told| told.place).collect();
+    let places: Vec<usize> = told.iter().map(|told| told.position).collect();
     assert_eq!(places, [0, 30, 60, 90]);
     assert!(told.iter().all(|told| told.state.requests == 3));
 }
--- a/components/control/tests/state/main.rs
+++ b/components/control/tests/state/main.rs
@@ -2,6 +2,7 @@
 
 mod balancing;
 mod claims;
+mod configuration_transfer;
 mod copies;
 mod determinism;
 mod duties;
@@ -21,4 +22,3 @@
 mod routes;
 mod usage;
 mod watching;
-mod whole;
--- a/components/control/tests/state/usage.rs
+++ b/components/control/tests/state/usage.rs
@@ -33,7 +33,7 @@
 }
 
 fn untold(log: &Log, window: u64) -> Option<&WindowCounts> {
-    log.state.usage.untold().get(&UsageWindow(window))
+    log.state.usage.unreported().get(&UsageWindow(window))
 }
 
 #[test]
@@ -92,7 +92,7 @@
     close(&mut log, 3);
     count(&mut log, vec![report("g1", 1, &[(5, "one", 2)])]);
     close(&mut log, 6);
-    let told: Vec<u64> = log.state.usage.untold().keys().map(|w| w.0).collect();
+    let told: Vec<u64> = log.state.usage.unreported().keys().map(|w| w.0).collect();
     assert_eq!(told, [3, 4, 5, 6]);
     assert_eq!(untold(&log, 4), Some(&WindowCounts::new()));
     assert_eq!(untold(&log, 5), Some(&counts(&[("one", 2)])));
@@ -106,9 +106,9 @@
         close(&mut log, window);
     }
     let usage = &log.state.usage;
-    assert_eq!(usage.untold().len(), 120);
+    assert_eq!(usage.unreported().len(), 120);
     close(&mut log, 1_000_000);
-    assert!(log.state.usage.untold().len() <= 120, "a long absence");
+    assert!(log.state.usage.unreported().len() <= 120, "a long absence");
 }
 
 /// Who counted in the window that was closed hears that it is in the log.
--- a/components/forwarding/src/backends.rs
+++ b/components/forwarding/src/backends.rs
@@ -1,6 +1,6 @@
 //! What a gateway believes of one back end.
 
-use garnet_control::{BackendRecord, BackendRegistration, Backlog, ByRank, UNTOLD_START};
+use garnet_control::{BackendRecord, BackendRegistration, Backlog, PriorityCounts, UNTOLD_START};
 use garnet_routing::{Availability, CircuitBreaker};
 use garnet_types::{BackendId, BackendKind, EngineRole, Millis};
 
@@ -35,8 +35,8 @@
 /// what the back end told last.
 #[derive(Debug, Clone, Default)]
 pub struct BackendLoad {
-    own: ByRank,
-    own_uncached: ByRank,
+    own: PriorityCounts,
+    own_uncached: PriorityCounts,
     own_held_tokens: u64,
     /// Likely output of own requests.
     own_output_tokens: u64,
@@ -121,7 +121,7 @@
     }
 
     /// Own requests under way, by rank.
-    pub fn own_by_rank(&self) -> ByRank {
+    pub fn own_by_rank(&self) -> PriorityCounts {
         self.own
     }
 
--- a/components/forwarding/src/forwarder/admitting.rs
+++ b/components/forwarding/src/forwarder/admitting.rs
@@ -1,6 +1,6 @@
 //! Predictions from what is believed, and what is learned for them.
 
-use garnet_control::{ByRank, LAST_RANK};
+use garnet_control::{LOWEST_PRIORITY, PriorityCounts};
 use garnet_types::{BackendId, Millis, ServiceId};
 
 use crate::admission::{Admission, Arrival, Prediction, admit};
@@ -99,7 +99,7 @@
         };
         let uncached = self.uncached_tokens(engine, prompt, source, now);
         let ahead = self.queued_tokens(engine, work.rank(uncached), now);
-        let queued = self.queued_tokens(engine, LAST_RANK, now);
+        let queued = self.queued_tokens(engine, LOWEST_PRIORITY, now);
         let pace = self.pace_of(engine);
         let alone_ms = pace.expected_ms(uncached);
         let place = self.place_queue(service, work.priority, placement, now);
@@ -171,7 +171,7 @@
     /// Part of the requests that generate which come before a new one of this
     /// rank; own requests are taken for like all others.
     fn part_before(&self, service: &ServiceId, rank: u8) -> f64 {
-        let mut own = ByRank::default();
+        let mut own = PriorityCounts::default();
         let with_work = self.with_own_work.iter();
         let with_work = with_work.filter_map(|id| self.backends.get(id));
         let of_service = with_work.filter(|backend| backend.registration.service == *service);
@@ -200,7 +200,7 @@
         rank: u8,
         now: Millis,
     ) -> Option<Millis> {
-        if rank >= LAST_RANK {
+        if rank >= LOWEST_PRIORITY {
             return None;
         }
         let queued = self.queued_tokens(id, rank, now);
--- a/components/forwarding/src/forwarder/configuration.rs
+++ b/components/forwarding/src/forwarder/configuration.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use garnet_control::{
-    Configuration, ConfigurationChange, ConfigurationPart, PartRequest, TakenPart, WatchUpdate,
+    Configuration, ConfigurationChange, ConfigurationPart, PartOutcome, PartRequest, WatchUpdate,
 };
 use garnet_routes::{CallerLimits, RouteIndex};
 use garnet_types::{BackendId, EncodingVersion, Millis};
@@ -22,22 +22,22 @@
     /// Notes that the leader has the whole configuration in parts, as it stood at
     /// this index. Gives the part to ask for, where none is under way.
     pub fn offered_parts(&mut self, index: u64, now: Millis) -> Option<PartRequest> {
-        self.loader.offered(index, now)
+        self.loader.on_offer(index, now)
     }
 
     /// Takes a part of the whole configuration. Gives the next one to ask for.
     pub fn take_part(&mut self, part: ConfigurationPart, now: Millis) -> Option<PartRequest> {
         match self.loader.take(part, now) {
-            TakenPart::Next(next) => return Some(next),
-            TakenPart::Whole(whole) => self.take_whole(whole),
-            TakenPart::LeftAside => {}
+            PartOutcome::Next(next) => return Some(next),
+            PartOutcome::Complete(whole) => self.take_whole(whole),
+            PartOutcome::Ignored => {}
         }
         None
     }
 
     /// Notes that the connection to the leader is another one, of this version.
     pub fn connected(&mut self, version: EncodingVersion) {
-        self.loader.connected();
+        self.loader.on_connected();
         self.tell_runs_anew();
         self.limits.connected();
         self.set_permits_given(version >= EncodingVersion::V16);
--- a/components/forwarding/src/forwarder/fleet.rs
+++ b/components/forwarding/src/forwarder/fleet.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use garnet_control::{
-    Backlog, CopyNews, Evidence, PlacedCopy, PlacedState, PromptCopy, ToldDigest,
+    Backlog, CopyUpdates, Evidence, GatewayDigest, PositionedCopy, PositionedState, PromptCopy,
 };
 use garnet_types::{BackendId, Millis, ServiceId};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
@@ -88,7 +88,7 @@
 
     /// Takes the leader's digest. One of other back ends than are known here
     /// is left aside.
-    pub fn take_digest(&mut self, told: &ToldDigest, now: Millis) {
+    pub fn take_digest(&mut self, told: &GatewayDigest, now: Millis) {
         let Some(states) = told.digest.states(self.likes.members()) else {
             return;
         };
@@ -97,8 +97,8 @@
             self.hear(&id, Underway::default(), false, now);
         }
         let mut sums: BTreeMap<Likes, Underway> = BTreeMap::new();
-        for PlacedState { place, state } in states {
-            let Some(id) = self.likes.id_at(place).cloned() else {
+        for PositionedState { position, state } in states {
+            let Some(id) = self.likes.id_at(position).cloned() else {
                 continue;
             };
             let all = Underway::from(&state);
@@ -217,11 +217,11 @@
 
     /// Takes the leader's news of copies. Those about other back ends than are
     /// known here are left aside.
-    pub fn take_copy_news(&mut self, news: &CopyNews, now: Millis) {
+    pub fn take_copy_news(&mut self, news: &CopyUpdates, now: Millis) {
         if news.copies.is_empty() || news.members != self.likes.members() {
             return;
         }
-        let placed = |copy: &PlacedCopy| {
+        let placed = |copy: &PositionedCopy| {
             let backend = self.likes.id_at(usize::from(copy.place))?.clone();
             let prefix = copy.prefix;
             Some(PromptCopy { prefix, backend })
--- a/components/forwarding/src/forwarder/mod.rs
+++ b/components/forwarding/src/forwarder/mod.rs
@@ -17,7 +17,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-use garnet_control::{Configuration, Loader, PromptCopy};
+use garnet_control::{Configuration, ConfigurationLoader, PromptCopy};
 use garnet_limits::KnownLimits;
 use garnet_quarantine::CrashLog;
 use garnet_routes::{Route, RouteIndex, Tenant};
@@ -71,7 +71,7 @@
     settings: ForwarderSettings,
     configuration: Configuration,
     /// A whole configuration that comes in parts.
-    loader: Loader,
+    loader: ConfigurationLoader,
     /// Since when the configuration is one that no leader has confirmed yet.
     unconfirmed_since: Option<Millis>,
     routes: RouteIndex,
@@ -124,7 +124,7 @@
         Forwarder {
             settings,
             configuration: Configuration::default(),
-            loader: Loader::default(),
+            loader: ConfigurationLoader::default(),
             unconfirmed_since: None,
             routes: RouteIndex::default(),
             backends: BTreeMap::new(),
--- a/components/forwarding/src/others.rs
+++ b/components/forwarding/src/others.rs
@@ -3,14 +3,14 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-use garnet_control::{BackendState, Backlog, ByRank};
+use garnet_control::{BackendState, Backlog, PriorityCounts};
 use garnet_types::Millis;
 
 /// Work under way at a back end.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub(crate) struct Underway {
     pub(crate) requests: u64,
-    pub(crate) uncached: ByRank,
+    pub(crate) uncached: PriorityCounts,
     pub(crate) held_tokens: u64,
 }
 
@@ -41,7 +41,7 @@
     }
 
     fn map(&self, change: impl Fn(u64) -> u64) -> Self {
-        let mut uncached = ByRank::default();
+        let mut uncached = PriorityCounts::default();
         for (rank, tokens) in self.uncached.iter() {
             uncached.add(rank, change(tokens));
         }
@@ -114,12 +114,12 @@
     }
 
     /// Prompt tokens that they probably have there to be prefilled.
-    pub(crate) fn uncached(&self, now: Millis) -> ByRank {
-        let mut uncached = ByRank::default();
-        for rank in ByRank::ranks() {
+    pub(crate) fn uncached(&self, now: Millis) -> PriorityCounts {
+        let mut uncached = PriorityCounts::default();
+        for rank in PriorityCounts::priorities() {
             uncached.add(
                 rank,
-                self.number_at(now, |there| there.uncached.of_rank(rank)),
+                self.number_at(now, |there| there.uncached.count_at(rank)),
             );
         }
         uncached
--- a/components/forwarding/src/work.rs
+++ b/components/forwarding/src/work.rs
@@ -1,6 +1,6 @@
 //! Typed facts of a request whose content stays opaque.
 
-use garnet_control::LAST_RANK;
+use garnet_control::LOWEST_PRIORITY;
 use garnet_routes::WorkKind;
 use garnet_types::{Millis, PrefixId};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
@@ -65,12 +65,12 @@
     /// late.
     pub fn rank(&self, uncached_tokens: u64) -> u8 {
         if self.is_deferred {
-            return LAST_RANK;
+            return LOWEST_PRIORITY;
         }
         let doublings = (uncached_tokens / SHORT_PREFILL)
             .checked_ilog2()
             .map_or(0, |doublings| doublings as u8 + 1);
-        self.priority.saturating_add(doublings).min(LAST_RANK)
+        self.priority.saturating_add(doublings).min(LOWEST_PRIORITY)
     }
 }
 
--- a/components/forwarding/tests/core/admission.rs
+++ b/components/forwarding/tests/core/admission.rs
@@ -1,6 +1,6 @@
 //! Requests are sent, deferred or refused by what is predicted of them.
 
-use garnet_control::{Backlog, ByRank, WatchUpdate};
+use garnet_control::{Backlog, PriorityCounts, WatchUpdate};
 use garnet_forwarding::{Admission, Arrival, Forwarder, Prompt, Work};
 use garnet_routes::{EngineLimits, RouteTable, ServiceSettings, WorkKind};
 use garnet_types::{BackendId, EngineRole, Millis, ServiceId};
@@ -58,7 +58,7 @@
     gateway
 }
 
-fn backlog(backend: BackendId, requests: u64, uncached: ByRank) -> Backlog {
+fn backlog(backend: BackendId, requests: u64, uncached: PriorityCounts) -> Backlog {
     Backlog {
         backend,
         requests,
@@ -99,7 +99,7 @@
 #[case::late(100_000, Admission::Defer)]
 fn what_would_be_late_is_read_after_the_rest(#[case] queued: u64, #[case] expected: Admission) {
     let mut gateway = gateway();
-    let others = backlog(prefill_engine(), 9, ByRank::at(0, queued));
+    let others = backlog(prefill_engine(), 9, PriorityCounts::at(0, queued));
     hear(&mut gateway, &[others]);
     let work = stream(prompt(1, 2, 8_000));
     assert_eq!(decide(&mut gateway, &work, false), expected);
@@ -109,7 +109,7 @@
 #[test]
 fn what_is_queued_behind_makes_nobody_late() {
     let mut gateway = gateway();
-    let others = backlog(prefill_engine(), 9, ByRank::at(9, 100_000));
+    let others = backlog(prefill_engine(), 9, PriorityCounts::at(9, 100_000));
     hear(&mut gateway, &[others]);
     let work = stream(prompt(1, 2, 8_000));
     assert_eq!(decide(&mut gateway, &work, false), Admission::Admit);
@@ -118,7 +118,7 @@
 #[test]
 fn what_would_end_before_it_begins_is_refused_with_a_time_to_come_back() {
     let mut gateway = gateway();
-    let others = backlog(prefill_engine(), 9, ByRank::at(0, 300_000));
+    let others = backlog(prefill_engine(), 9, PriorityCounts::at(0, 300_000));
     hear(&mut gateway, &[others]);
     let work = stream(prompt(1, 2, 8_000));
     let Admission::Refuse { retry_after, .. } = decide(&mut gateway, &work, true) else {
@@ -148,7 +148,7 @@
     };
     gateway.note_place(&decode_engine(), &chat, Millis(4_000));
     gateway.handed_over(&decode_engine(), &chat, 1, NOW);
-    let others = backlog(decode_engine(), requests - 1, ByRank::default());
+    let others = backlog(decode_engine(), requests - 1, PriorityCounts::default());
     hear(&mut gateway, &[others]);
     gateway
 }
@@ -188,8 +188,8 @@
     ) {
         let mut gateway = gateway();
         let others = [
-            backlog(prefill_engine(), requests, ByRank::at(0, queued)),
-            backlog(decode_engine(), requests, ByRank::default()),
+            backlog(prefill_engine(), requests, PriorityCounts::at(0, queued)),
+            backlog(decode_engine(), requests, PriorityCounts::default()),
         ];
         hear(&mut gateway, &others);
         let arrival = Arrival {
--- a/components/forwarding/tests/core/fleet.rs
+++ b/components/forwarding/tests/core/fleet.rs
@@ -4,7 +4,7 @@
 
 use garnet_control::{
     BackendRecord, BackendRegistration, BackendState, Backlog, Configuration, EngineObservation,
-    LoadDigest, MembersHash, ToldDigest, UNTOLD_START, WatchUpdate,
+    GatewayDigest, LoadDigest, MembersHash, UNTOLD_START, WatchUpdate,
 };
 use garnet_forwarding::{BudgetShare, Forwarder, ForwarderSettings, Prompt, PromptPart, Work};
 use garnet_routes::{EngineLimits, Route, RouteTable, ServiceSettings, WeightedService, WorkKind};
@@ -189,7 +189,7 @@
         })
     };
     let states: Vec<BackendState> = ids.iter().map(state).collect();
-    let told = ToldDigest {
+    let told = GatewayDigest {
         digest: LoadDigest::encode(MembersHash::of(ids.iter()), states),
         counted: None,
     };
--- a/components/forwarding/tests/core/fleet_view.rs
+++ b/components/forwarding/tests/core/fleet_view.rs
@@ -1,6 +1,8 @@
 //! What a gateway believes of the fleet from the leader's digest.
 
-use garnet_control::{BackendRecord, BackendState, ByRank, LoadDigest, MembersHash, ToldDigest};
+use garnet_control::{
+    BackendRecord, BackendState, GatewayDigest, LoadDigest, MembersHash, PriorityCounts,
+};
 use garnet_forwarding::{Forwarder, Placement};
 use garnet_routes::WorkKind;
 use garnet_types::{BackendId, EngineRole, Millis, ServiceId};
@@ -31,11 +33,11 @@
     records: &[BackendRecord],
     counted: Option<Millis>,
     state: impl Fn(&BackendId) -> BackendState,
-) -> ToldDigest {
+) -> GatewayDigest {
     let mut ids: Vec<BackendId> = records.iter().map(|r| r.registration.id.clone()).collect();
     ids.sort();
     let states: Vec<BackendState> = ids.iter().map(state).collect();
-    ToldDigest {
+    GatewayDigest {
         digest: LoadDigest::encode(MembersHash::of(ids.iter()), states),
         counted,
     }
@@ -44,7 +46,7 @@
 fn loaded(tokens: u64) -> BackendState {
     BackendState {
         requests: 1,
-        uncached: ByRank::at(0, tokens),
+        uncached: PriorityCounts::at(0, tokens),
         held_tokens: tokens,
         is_failing: false,
     }
--- a/components/forwarding/tests/core/placement.rs
+++ b/components/forwarding/tests/core/placement.rs
@@ -1,6 +1,6 @@
 //! Where work goes.
 
-use garnet_control::{BackendRecord, Backlog, ByRank, PromptCopy};
+use garnet_control::{BackendRecord, Backlog, PriorityCounts, PromptCopy};
 use garnet_forwarding::{Forwarder, LoadReport, Placement, Prompt};
 use garnet_routes::WorkKind;
 use garnet_types::{BackendId, EngineRole, Millis, PrefixId, ServiceId};
@@ -125,7 +125,7 @@
     let busy = |id: &str| Backlog {
         backend: BackendId::new(id),
         requests: 9,
-        uncached: ByRank::at(0, 90_000),
+        uncached: PriorityCounts::at(0, 90_000),
         held_tokens: 90_000,
     };
     for (idle, others) in [
@@ -233,7 +233,7 @@
     let backlog = Backlog {
         backend: prefill_engine.clone(),
         requests: 9,
-        uncached: ByRank::at(0, 90_000),
+        uncached: PriorityCounts::at(0, 90_000),
         held_tokens: 90_000,
     };
     hear(&mut gateway, &[backlog]);
--- a/components/forwarding/tests/core/split_fleet.rs
+++ b/components/forwarding/tests/core/split_fleet.rs
@@ -7,7 +7,7 @@
 use std::collections::{BTreeMap, HashSet, VecDeque};
 
 use garnet_control::{
-    BackendRecord, BackendState, Backlog, LoadDigest, MembersHash, PromptCopy, ToldDigest,
+    BackendRecord, BackendState, Backlog, GatewayDigest, LoadDigest, MembersHash, PromptCopy,
 };
 use garnet_forwarding::{Forwarder, Placement, Prompt};
 use garnet_routes::WorkKind;
@@ -90,7 +90,7 @@
         }
         let decode = BackendId::new("q-decode");
         let ids = self.ids.iter().chain([&decode]);
-        let digest = ToldDigest {
+        let digest = GatewayDigest {
             digest: LoadDigest::encode(MembersHash::of(ids), states),
             counted: Some(now),
         };
--- a/components/gateway/src/configuration.rs
+++ b/components/gateway/src/configuration.rs
@@ -1,6 +1,6 @@
 //! The configuration that the gateway works by, and its lease on it.
 
-use garnet_control::{CONFIGURATION_LEASE, Configuration, Loader, WatchUpdate};
+use garnet_control::{CONFIGURATION_LEASE, Configuration, ConfigurationLoader, WatchUpdate};
 use garnet_policy::{Policy, PolicySet};
 use garnet_types::Millis;
 
@@ -15,7 +15,7 @@
     highest_index: u64,
     lease_until: Millis,
     /// A whole configuration that comes in parts.
-    pub(crate) loader: Loader,
+    pub(crate) loader: ConfigurationLoader,
     /// When the watch was sent that gave the newest answer.
     pub(crate) answered_watch_sent_at: Option<Millis>,
 }
--- a/components/gateway/src/gateway/control.rs
+++ b/components/gateway/src/gateway/control.rs
@@ -1,7 +1,7 @@
 //! What goes to the control group and comes from it.
 
 use garnet_control::{
-    ConfigurationPart, ControlReply, GatewayRequest, PartRequest, TakenPart, WatchUpdate,
+    ConfigurationPart, ControlReply, GatewayRequest, PartOutcome, PartRequest, WatchUpdate,
 };
 use garnet_types::{Millis, RequestId};
 
@@ -62,7 +62,7 @@
                 self.note_leader(sent_at.since(before));
                 self.take_suspects(suspects);
                 if let WatchUpdate::Parts { index } = update {
-                    let next = self.watched.loader.offered(index, self.now);
+                    let next = self.watched.loader.on_offer(index, self.now);
                     self.ask_for_part(next);
                 }
                 if let Some(index) = self.watched.take(sent_at, update) {
@@ -89,14 +89,14 @@
             return;
         };
         match self.watched.loader.take(part, self.now) {
-            TakenPart::Next(next) => self.ask_for_part(Some(next)),
-            TakenPart::Whole(configuration) => {
+            PartOutcome::Next(next) => self.ask_for_part(Some(next)),
+            PartOutcome::Complete(configuration) => {
                 if let Some(index) = self.watched.take_whole(configuration) {
                     self.follow_configuration(index);
                 }
                 self.watch();
             }
-            TakenPart::LeftAside => {}
+            PartOutcome::Ignored => {}
         }
     }
 
--- a/components/gateway/tests/core/configuration.rs
+++ b/components/gateway/tests/core/configuration.rs
@@ -1,7 +1,7 @@
 //! The configuration lease and the rising index.
 
 use garnet_control::{
-    CONFIGURATION_LEASE, ConfigurationChange, ControlReply, CopyNews, WatchUpdate,
+    CONFIGURATION_LEASE, ConfigurationChange, ControlReply, CopyUpdates, WatchUpdate,
 };
 use garnet_gateway::Event;
 use garnet_types::{BackendId, Execution, MachineState, Millis, OutcomeCode};
@@ -46,7 +46,7 @@
         gateways: 1,
         digest: None,
         suspects: None,
-        copies: CopyNews::default(),
+        copies: CopyUpdates::default(),
     }));
     assert!(harness.gateway.is_ready(harness.now));
     assert!(!harness.gateway.is_ready(sent_at + CONFIGURATION_LEASE));
--- a/components/gateway/tests/core/crashes.rs
+++ b/components/gateway/tests/core/crashes.rs
@@ -1,7 +1,7 @@
 //! Requests under which engines end, at the gateway with claims.
 
 use garnet_control::{
-    ConfigurationChange, ControlReply, CopyNews, GatewayRequest, QuarantineRecord, WatchUpdate,
+    ConfigurationChange, ControlReply, CopyUpdates, GatewayRequest, QuarantineRecord, WatchUpdate,
 };
 use garnet_gateway::{AttemptEvent, Effect, Event};
 use garnet_quarantine::{RequestFingerprint, RunEnd, RunReport, Suspects};
@@ -33,7 +33,7 @@
         group: None,
         gateways: 2,
         digest: None,
-        copies: CopyNews::default(),
+        copies: CopyUpdates::default(),
         suspects: Some(suspects),
     }));
 }
--- a/components/gateway/tests/core/harness.rs
+++ b/components/gateway/tests/core/harness.rs
@@ -2,7 +2,7 @@
 
 use garnet_control::{
     BackendRecord, BackendRegistration, ClaimAnswer, ClaimRequest, Configuration, ControlReply,
-    CopyNews, EngineObservation, GatewayRequest, UNTOLD_START, WatchUpdate,
+    CopyUpdates, EngineObservation, GatewayRequest, UNTOLD_START, WatchUpdate,
 };
 use garnet_gateway::{
     Answer, AttemptEvent, AttemptId, Call, Effect, Event, Gateway, GatewaySettings, Job, Work,
@@ -77,7 +77,7 @@
             gateways: 1,
             digest: None,
             suspects: None,
-            copies: CopyNews::default(),
+            copies: CopyUpdates::default(),
         }));
     }
 
--- a/components/wire/tests/upgrade/samples/commands.rs
+++ b/components/wire/tests/upgrade/samples/commands.rs
@@ -87,7 +87,7 @@
 }
 
 pub fn later_commands() -> Vec<(&'static str, Command)> {
-    let note = MachineNote {
+    let note = MachineUpdate {
         registration: registration("app-1", BackendKind::Application),
         state: MachineState::Live,
         observed: Some(observation(EngineRole::Decode)),
--- a/components/wire/tests/upgrade/samples/frames.rs
+++ b/components/wire/tests/upgrade/samples/frames.rs
@@ -88,7 +88,7 @@
         ),
     ]
 }
-fn digest() -> ToldDigest {
+fn digest() -> GatewayDigest {
     let ids = [
         BackendId::new("engine-1"),
         BackendId::new("engine-2"),
@@ -98,18 +98,18 @@
         BackendState::default(),
         BackendState {
             requests: 4,
-            uncached: ByRank::at(1, 640),
+            uncached: PriorityCounts::at(1, 640),
             held_tokens: 1280,
             is_failing: false,
         },
         BackendState {
             requests: 0,
-            uncached: ByRank::default(),
+            uncached: PriorityCounts::default(),
             held_tokens: 0,
             is_failing: true,
         },
     ];
-    ToldDigest {
+    GatewayDigest {
         digest: LoadDigest::encode(MembersHash::of(ids.iter()), states),
         counted: Some(Millis(990)),
     }
@@ -128,9 +128,9 @@
         }),
         gateways: 7,
         digest: Some(digest()),
-        copies: CopyNews {
+        copies: CopyUpdates {
             members: MembersHash::of([BackendId::new("engine-1")].iter()),
-            copies: vec![PlacedCopy {
+            copies: vec![PositionedCopy {
                 prefix: PrefixId(0xabc),
                 place: 1,
             }],
@@ -262,7 +262,7 @@
                 backlogs: vec![Backlog {
                     backend: BackendId::new("engine-1"),
                     requests: 3,
-                    uncached: ByRank::at(2, 900),
+                    uncached: PriorityCounts::at(2, 900),
                     held_tokens: 2000,
                 }],
                 evidence: vec![Evidence {
