--- a/bin/garnet-bench/src/fleet.rs
+++ b/bin/garnet-bench/src/fleet.rs
@@ -11,7 +11,9 @@
 use garnet_forwarding::{
     Arrival, BudgetShare, Forwarder, ForwarderSettings, Prompt, PromptPart, ReportedLimit, Work,
 };
-use garnet_limits::{LimitLedger, LimitReport, PermitAsk, PermitOutcome, RateError, RequestRate};
+use garnet_limits::{
+    LimitLedger, LimitReport, PermitOutcome, PermitRequest, RateError, RequestRate,
+};
 use garnet_routes::{EngineLimits, RouteTable, ServiceSettings, WorkKind};
 use garnet_types::{
     BackendId, BackendKind, EngineAssignment, EngineRole, MachineState, Millis, ModelId, PrefixId,
@@ -80,13 +82,13 @@
         gateway.report(NOW).backlogs.is_empty()
     });
     let mut ledger = ledger(limited)?;
-    let ask = PermitAsk {
+    let ask = PermitRequest {
         number: 1,
         backends: (0..limited.min(ASKED)).map(id).collect(),
-        rank: 2,
+        priority: 2,
     };
     each("give a permit", rounds, |round| {
-        let answer = ledger.ask(&ask, NOW + Millis(round * 100));
+        let answer = ledger.request_permit(&ask, NOW + Millis(round * 100));
         matches!(answer.outcome, PermitOutcome::Granted { .. })
     });
     let changed = record(7, MachineState::Leaving);
@@ -217,7 +219,7 @@
             rate,
             ago: Millis::ZERO,
         };
-        ledger.note(&report, NOW);
+        ledger.apply_report(&report, NOW);
     }
     Ok(ledger)
 }
--- a/bin/garnet-gateway/src/attempts.rs
+++ b/bin/garnet-gateway/src/attempts.rs
@@ -136,7 +136,7 @@
 /// Hands on the limit in an answer. An answer without one counts if it is a success.
 fn tell_limit(context: &Context, attempt: AttemptId, status: StatusCode, headers: &HeaderMap) {
     let values = headers.get_all(LIMIT_HEADER);
-    let said = RequestRate::named_in(values.iter().map(HeaderValue::as_bytes));
+    let said = RequestRate::lowest_in(values.iter().map(HeaderValue::as_bytes));
     match said {
         Ok(None) if !status.is_success() => {}
         Ok(said) => context.handle(Event::Attempt(attempt, AttemptEvent::Limit(said))),
--- a/components/control/src/messages.rs
+++ b/components/control/src/messages.rs
@@ -1,6 +1,6 @@
 //! What gateways and the leader say to each other.
 
-use garnet_limits::{LimitEntry, LimitList, LimitReports, PermitAnswer, PermitAsk};
+use garnet_limits::{LimitEntry, LimitList, LimitReports, PermitAnswer, PermitRequest};
 use garnet_quarantine::{RunReport, Suspects};
 use garnet_types::{
     BackendId, GatewayId, Millis, ModelId, PrefixId, RecordedResponse, ReplicaId, ServiceId,
@@ -150,7 +150,7 @@
         reports: LimitReports,
     },
     /// Asks for a permit to send a request to a back end that has a limit.
-    Permit(PermitAsk),
+    Permit(PermitRequest),
 }
 
 /// A replica asks to be a member of the group. It repeats this until a leader
--- a/components/control/src/replica/limiting.rs
+++ b/components/control/src/replica/limiting.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use garnet_limits::{LimitEntry, LimitLedger, LimitReport, LimitReports, PermitAsk};
+use garnet_limits::{LimitEntry, LimitLedger, LimitReport, LimitReports, PermitRequest};
 use garnet_types::{BackendId, GatewayId, Millis, UNTOLD_START};
 
 use crate::configuration::Configuration;
@@ -63,7 +63,7 @@
         connection: u64,
         now: Millis,
     ) -> Option<(SentList, Shared<Vec<LimitEntry>>)> {
-        let number = self.ledger.number();
+        let number = self.ledger.list_number();
         let state = self.gateways.entry(gateway.clone()).or_default();
         let news = SentList {
             number,
@@ -85,7 +85,7 @@
     }
 
     fn list(&mut self) -> Shared<Vec<LimitEntry>> {
-        let number = self.ledger.number();
+        let number = self.ledger.list_number();
         let held = self.list.take().filter(|(of, _)| *of == number);
         let (_, list) = self
             .list
@@ -104,7 +104,7 @@
         state.reports_taken = state.reports_taken.max(message.number);
         let is_of_present = |report: &&LimitReport| is_of_present(report, configuration);
         for report in message.reports.iter().filter(is_of_present) {
-            self.ledger.note(report, now);
+            self.ledger.apply_report(report, now);
         }
     }
 }
@@ -133,8 +133,8 @@
     }
 
     /// Answers a request for a permit.
-    pub(super) fn give_permit(&mut self, ask: &PermitAsk) -> ControlReply {
-        ControlReply::Permit(self.limiting.ledger.ask(ask, self.now))
+    pub(super) fn give_permit(&mut self, ask: &PermitRequest) -> ControlReply {
+        ControlReply::Permit(self.limiting.ledger.request_permit(ask, self.now))
     }
 
     /// Sends the list of limits to a gateway that watches, unless it has the newest one.
@@ -155,7 +155,7 @@
     /// Forgets back ends and gateways that are gone.
     pub(super) fn keep_limits(&mut self) {
         let backends = &self.state.configuration.backends;
-        self.limiting.ledger.keep(|id| backends.contains_key(id));
+        self.limiting.ledger.retain(|id| backends.contains_key(id));
         let known = &self.gateways;
         let states = &mut self.limiting.gateways;
         states.retain(|gateway, _| known.is_known(gateway));
--- a/components/control/tests/state/limits.rs
+++ b/components/control/tests/state/limits.rs
@@ -1,7 +1,7 @@
 //! Engines that name a limit, as the leader hears and tells of it.
 
 use garnet_control::{ControlReply, Event, GatewayRequest, LimitUpdate, MachineEntry};
-use garnet_limits::{LimitReport, LimitReports, PermitAsk, PermitOutcome};
+use garnet_limits::{LimitReport, LimitReports, PermitOutcome, PermitRequest};
 use garnet_types::{BackendId, GatewayId, MachineState, Millis};
 
 use crate::leader::Leader;
@@ -47,10 +47,10 @@
 }
 
 fn is_granted(leader: &mut Leader, of: u64) -> bool {
-    let ask = PermitAsk {
+    let ask = PermitRequest {
         number: 9,
         backends: vec![engine(of)],
-        rank: 0,
+        priority: 0,
     };
     match leader.replies(1, GatewayRequest::Permit(ask)).as_slice() {
         [ControlReply::Permit(answer)] => {
--- a/components/forwarding-shell/src/permits.rs
+++ b/components/forwarding-shell/src/permits.rs
@@ -7,7 +7,7 @@
 
 use garnet_control::GatewayRequest;
 use garnet_forwarding::SHORTEST_RETRY;
-use garnet_limits::{Asking, PermitAnswer, PermitAsk, PermitOutcome};
+use garnet_limits::{PermitAnswer, PermitLookup, PermitOutcome, PermitRequest};
 use garnet_types::{GatewayId, Millis};
 use smol::channel::{Receiver, Sender, bounded};
 
@@ -64,7 +64,7 @@
         self.leader_heard_at.set(now);
     }
 
-    fn send(&self, ask: PermitAsk) -> bool {
+    fn send(&self, ask: PermitRequest) -> bool {
         let request = GatewayRequest::Permit(ask);
         self.requests.try_send(request).is_ok()
     }
@@ -180,15 +180,15 @@
         forwarder.ask_for_permit(service, work, tried, now)
     };
     let retry_after = match asking {
-        Asking::Unlimited => {
+        PermitLookup::Unlimited => {
             return match wait_for_connection(gateway, running, place).await {
                 Waited::Placed(placed) => Ok(placed),
                 Waited::InVain => Err(not_placed(gateway, running)),
                 Waited::TooLong(retry_after) => Err(NotPlaced::Unavailable(retry_after)),
             };
         }
-        Asking::Closed(retry_after) => retry_after,
-        Asking::Ask(ask) => match answer_to(gateway, running, ask).await {
+        PermitLookup::Unavailable(retry_after) => retry_after,
+        PermitLookup::Request(ask) => match answer_to(gateway, running, ask).await {
             // The verdict on a request may fall while it waits, and its time may pass.
             Some(_) if !may_be_sent(gateway, running) => return Err(NotPlaced::Nobody),
             Some(PermitOutcome::Granted { .. }) => match place() {
@@ -246,7 +246,7 @@
 async fn answer_to<C: CallerPort, B: BackendPort>(
     gateway: &Gateway<C, B>,
     running: &Running,
-    ask: PermitAsk,
+    ask: PermitRequest,
 ) -> Option<PermitOutcome> {
     if is_leader_silent(gateway, gateway.now()) {
         gateway.metrics.permit("no_leader");
--- a/components/forwarding/src/forwarder/limits.rs
+++ b/components/forwarding/src/forwarder/limits.rs
@@ -2,7 +2,9 @@
 //! send to them.
 
 use garnet_control::LimitUpdate;
-use garnet_limits::{Asking, KnownLimits, LimitReports, PermitAnswer, PermitAsk, RequestRate};
+use garnet_limits::{
+    GatewayLimits, LimitReports, PermitAnswer, PermitLookup, PermitRequest, RequestRate,
+};
 use garnet_types::{BackendId, Millis, ServiceId};
 
 use crate::backends::Backend;
@@ -27,7 +29,7 @@
     pub(super) fn set_permits_given(&mut self, are_given: bool) {
         self.permits_are_given = are_given;
         if !are_given {
-            self.limits = KnownLimits::default();
+            self.limits = GatewayLimits::default();
             for backend in self.backends.values_mut() {
                 backend.has_limit = false;
             }
@@ -53,11 +55,11 @@
         match reported {
             ReportedLimit::Limited(rate) => {
                 backend.has_limit = true;
-                let is_new = self.limits.named(id, start, rate, now);
+                let is_new = self.limits.limit_reported(id, start, rate, now);
                 is_new.then_some(rate)
             }
             ReportedLimit::Unlimited => {
-                self.limits.named_none(id, start, sent_at);
+                self.limits.no_limit_reported(id, start, sent_at);
                 None
             }
             ReportedLimit::Unknown => None,
@@ -71,7 +73,7 @@
 
     /// Takes the leader's list of limits. Gives the back ends whose limit is over.
     pub fn take_limits(&mut self, told: &LimitUpdate, now: Millis) -> Vec<BackendId> {
-        let over = self.limits.take_list(told.list(), now);
+        let over = self.limits.apply_list(told.list(), now);
         let listed = told.limits.iter().map(|told| &told.backend);
         for id in listed.chain(&over) {
             self.note_whether_limited(id);
@@ -111,9 +113,9 @@
         work: &Work,
         tried: &[BackendId],
         now: Millis,
-    ) -> Asking {
+    ) -> PermitLookup {
         if self.limits.is_empty() {
-            return Asking::Unlimited;
+            return PermitLookup::Unlimited;
         }
         let could_take = |backend: &&Backend| {
             let id = &backend.registration.id;
@@ -125,7 +127,8 @@
             .filter(could_take)
             .map(|backend| backend.registration.id.clone())
             .collect();
-        self.limits.ask(limited.iter(), work.priority, now)
+        self.limits
+            .request_permit(limited.iter(), work.priority, now)
     }
 
     /// Each gateway asks for a permit with one of so many requests as there are
@@ -136,7 +139,7 @@
         service: &ServiceId,
         work: &Work,
         now: Millis,
-    ) -> Option<PermitAsk> {
+    ) -> Option<PermitRequest> {
         if self.limits.is_empty() {
             return None;
         }
@@ -158,9 +161,12 @@
         // One that nobody has sent to for long is as likely as any other.
         let drawn = self.arrived as usize / self.gateways.max(1) as usize;
         let one = could_take.get(drawn % could_take.len().max(1))?;
-        match self.limits.ask([one].into_iter(), work.priority, now) {
-            Asking::Ask(ask) => Some(ask),
-            Asking::Closed(_) | Asking::Unlimited => None,
+        match self
+            .limits
+            .request_permit([one].into_iter(), work.priority, now)
+        {
+            PermitLookup::Request(ask) => Some(ask),
+            PermitLookup::Unavailable(_) | PermitLookup::Unlimited => None,
         }
     }
 
--- a/components/forwarding/src/forwarder/mod.rs
+++ b/components/forwarding/src/forwarder/mod.rs
@@ -18,7 +18,7 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 use garnet_control::{Configuration, Loader, PromptCopy};
-use garnet_limits::KnownLimits;
+use garnet_limits::GatewayLimits;
 use garnet_quarantine::CrashLog;
 use garnet_routes::{Route, RouteIndex, Tenant};
 use garnet_types::{BackendId, BackendKind, Millis, ServiceId};
@@ -99,7 +99,7 @@
     beliefs_age: BeliefsAge,
     crash_log: CrashLog,
     /// Limits of back ends, and permits for them.
-    limits: KnownLimits,
+    limits: GatewayLimits,
     permits_are_given: bool,
     /// Requests that came so far, to share out who asks for a spare permit.
     arrived: u64,
@@ -144,7 +144,7 @@
             reporting: Reporting::default(),
             beliefs_age: BeliefsAge::default(),
             crash_log: CrashLog::default(),
-            limits: KnownLimits::default(),
+            limits: GatewayLimits::default(),
             permits_are_given: true,
             arrived: 0,
             seed,
--- a/components/forwarding/src/placement.rs
+++ b/components/forwarding/src/placement.rs
@@ -1,6 +1,6 @@
 //! Which back end takes a request: pure functions over what is believed.
 
-use garnet_limits::KnownLimits;
+use garnet_limits::GatewayLimits;
 use garnet_types::{BackendId, EngineRole, Millis};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
@@ -43,7 +43,7 @@
     /// Zone of the gateway.
     pub zone: &'a str,
     /// What back ends take, and permits for them.
-    pub limits: &'a KnownLimits,
+    pub limits: &'a GatewayLimits,
     /// The present.
     pub now: Millis,
     /// Back ends that this request was at before.
--- a/components/forwarding/tests/core/availability.rs
+++ b/components/forwarding/tests/core/availability.rs
@@ -4,7 +4,7 @@
 use garnet_forwarding::{
     Admission, Arrival, Forwarder, Placement, Probe, ReportedLimit, RetryAfter, Work,
 };
-use garnet_limits::Asking;
+use garnet_limits::PermitLookup;
 use garnet_routes::WorkKind;
 use garnet_types::{EngineRole, Millis, ServiceId};
 use rstest::rstest;
@@ -238,9 +238,9 @@
     let rate = "5".parse().expect("a rate");
     gateway.note_limit(&id("till-a"), ReportedLimit::Limited(rate), NOW, NOW);
     let ask = |gateway: &mut Forwarder| gateway.ask_for_permit(&till(), &call(), &[], NOW);
-    assert!(matches!(ask(&mut gateway), Asking::Ask(_)));
+    assert!(matches!(ask(&mut gateway), PermitLookup::Request(_)));
     gateway.note_backoff(&id("till-a"), BACKOFF, NOW);
-    assert_eq!(ask(&mut gateway), Asking::Unlimited);
+    assert_eq!(ask(&mut gateway), PermitLookup::Unlimited);
     assert!(gateway.all_in_backoff(&till(), &call(), NOW).is_some());
 }
 
--- a/components/forwarding/tests/core/limits.rs
+++ b/components/forwarding/tests/core/limits.rs
@@ -3,7 +3,7 @@
 
 use garnet_control::{BackendRecord, EngineObservation, LimitUpdate, Shared};
 use garnet_forwarding::{Forwarder, Placement, ReportedLimit, Work};
-use garnet_limits::{Asking, LimitEntry, PERMIT_LASTS, PermitAnswer, PermitOutcome};
+use garnet_limits::{LimitEntry, PERMIT_LIFETIME, PermitAnswer, PermitLookup, PermitOutcome};
 use garnet_routes::WorkKind;
 use garnet_types::{BackendId, EngineRole, Millis, ServiceId};
 use rstest::rstest;
@@ -41,7 +41,7 @@
 /// The names that the leader is asked for.
 fn asked(gateway: &mut Forwarder, service: &str, work: &Work) -> (u64, Vec<BackendId>) {
     match gateway.ask_for_permit(&ServiceId::new(service), work, &[], NOW) {
-        Asking::Ask(ask) => (ask.number, ask.backends),
+        PermitLookup::Request(ask) => (ask.number, ask.backends),
         other => panic!("{other:?}"),
     }
 }
@@ -100,7 +100,7 @@
     let (number, backends) = asked(&mut gateway, "till", &call());
     assert_eq!(backends, [id("till-a"), id("till-b")]);
     grant(&mut gateway, number, "till-b", false);
-    let late = NOW + PERMIT_LASTS + Millis(1);
+    let late = NOW + PERMIT_LIFETIME + Millis(1);
     assert!(gateway.may_send(&id("till-b"), NOW) && !gateway.may_send(&id("till-b"), late));
     let placed = place(&mut gateway, "till", &call());
     assert_eq!(placed, Some(Placement::One(id("till-b"))));
@@ -139,10 +139,16 @@
         let work = Work { priority, ..call() };
         gateway.ask_for_permit(&till, &work, &[], now)
     };
-    assert_eq!(ask(1, NOW), Asking::Closed(Millis(900)));
-    assert_eq!(ask(2, NOW + Millis(100)), Asking::Closed(Millis(800)));
-    assert!(matches!(ask(0, NOW), Asking::Ask(_)));
-    assert!(matches!(ask(1, NOW + Millis(300)), Asking::Ask(_)));
+    assert_eq!(ask(1, NOW), PermitLookup::Unavailable(Millis(900)));
+    assert_eq!(
+        ask(2, NOW + Millis(100)),
+        PermitLookup::Unavailable(Millis(800))
+    );
+    assert!(matches!(ask(0, NOW), PermitLookup::Request(_)));
+    assert!(matches!(
+        ask(1, NOW + Millis(300)),
+        PermitLookup::Request(_)
+    ));
 }
 
 #[test]
--- a/components/gateway/src/gateway/limits.rs
+++ b/components/gateway/src/gateway/limits.rs
@@ -2,7 +2,7 @@
 //! send to them.
 
 use garnet_control::{GatewayRequest, LimitUpdate};
-use garnet_limits::{Asking, PermitAnswer, PermitAsk, PermitOutcome, RequestRate};
+use garnet_limits::{PermitAnswer, PermitLookup, PermitOutcome, PermitRequest, RequestRate};
 use garnet_types::{BackendId, Class, Millis, OutcomeCode, Refusal, RequestId};
 
 use crate::backends::Eligible;
@@ -48,9 +48,9 @@
         let start = self.incarnation_of(backend);
         match said {
             Some(rate) => {
-                self.limits.named(backend, start, rate, self.now);
+                self.limits.limit_reported(backend, start, rate, self.now);
             }
-            None => self.limits.named_none(backend, start, sent_at),
+            None => self.limits.no_limit_reported(backend, start, sent_at),
         }
     }
 
@@ -65,7 +65,7 @@
     }
 
     pub(super) fn take_limits(&mut self, told: &LimitUpdate) {
-        let over = self.limits.take_list(told.list(), self.now);
+        let over = self.limits.apply_list(told.list(), self.now);
         if !over.is_empty() {
             self.serve_waiting();
         }
@@ -74,7 +74,7 @@
     /// The configuration has changed.
     pub(super) fn follow_limits(&mut self) {
         let backends = &self.watched.configuration.backends;
-        self.limits.keep(|id| backends.contains_key(id));
+        self.limits.retain(|id| backends.contains_key(id));
     }
 
     // ---- Permits ----
@@ -120,12 +120,15 @@
             .map(|one| one.id.clone())
             .collect();
         let was_asked = request.permits_asked >= MOST_PERMITS;
-        match self.limits.ask(candidates.iter(), rank, self.now) {
-            Asking::Unlimited => return false,
-            Asking::Closed(retry_after) => self.refuse_limited(id, retry_after),
+        match self
+            .limits
+            .request_permit(candidates.iter(), rank, self.now)
+        {
+            PermitLookup::Unlimited => return false,
+            PermitLookup::Unavailable(retry_after) => self.refuse_limited(id, retry_after),
             // Another request has used the permit.
-            Asking::Ask(_) if was_asked => self.refuse_limited(id, SHORTEST_RETRY),
-            Asking::Ask(ask) => {
+            PermitLookup::Request(_) if was_asked => self.refuse_limited(id, SHORTEST_RETRY),
+            PermitLookup::Request(ask) => {
                 let until = self.now + PERMIT_PATIENCE;
                 let number = ask.number;
                 self.ask_leader(ask);
@@ -140,7 +143,7 @@
         true
     }
 
-    fn ask_leader(&mut self, ask: PermitAsk) {
+    fn ask_leader(&mut self, ask: PermitRequest) {
         self.send_limit_reports();
         self.emit(Effect::SendControl(GatewayRequest::Permit(ask)));
     }
@@ -206,7 +209,9 @@
             .collect();
         let drawn = self.arrived as usize % limited.len().max(1);
         let one = limited.get(drawn);
-        if let Asking::Ask(ask) = self.limits.ask(one.into_iter(), rank, self.now) {
+        if let PermitLookup::Request(ask) =
+            self.limits.request_permit(one.into_iter(), rank, self.now)
+        {
             self.ask_leader(ask);
         }
     }
--- a/components/gateway/src/gateway/mod.rs
+++ b/components/gateway/src/gateway/mod.rs
@@ -12,7 +12,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use garnet_control::{ClaimRequest, PoolMix};
-use garnet_limits::KnownLimits;
+use garnet_limits::GatewayLimits;
 use garnet_quarantine::CrashLog;
 use garnet_routing::{RecentSet, RetryBudget, TokenBucket, WaitingQueue};
 use garnet_types::{
@@ -77,7 +77,7 @@
     pub(crate) counters: Counters,
     pub(crate) now: Millis,
     crash_log: CrashLog,
-    limits: KnownLimits,
+    limits: GatewayLimits,
     /// Gateways, as the leader counts them.
     gateways: u64,
     /// Requests that came so far.
@@ -109,7 +109,7 @@
             counters: Counters::default(),
             now: Millis::ZERO,
             crash_log: CrashLog::default(),
-            limits: KnownLimits::default(),
+            limits: GatewayLimits::default(),
             gateways: 1,
             arrived: 0,
             deadlines: BTreeSet::new(),
--- a/components/gateway/tests/core/limited_back_ends.rs
+++ b/components/gateway/tests/core/limited_back_ends.rs
@@ -4,7 +4,7 @@
     BackendRecord, ControlReply, GatewayRequest, LimitUpdate, Shared, WatchUpdate,
 };
 use garnet_gateway::{AttemptEvent, Effect, Event, Job};
-use garnet_limits::{LimitEntry, PermitAnswer, PermitAsk, PermitOutcome};
+use garnet_limits::{LimitEntry, PermitAnswer, PermitOutcome, PermitRequest};
 use garnet_types::{BackendId, EngineRole, Millis, OutcomeCode};
 
 use crate::harness::{Harness, completion, configuration, order};
@@ -52,14 +52,14 @@
     observed.assignment.role = role;
 }
 
-fn asks(harness: &mut Harness) -> Vec<PermitAsk> {
+fn asks(harness: &mut Harness) -> Vec<PermitRequest> {
     harness.take(|effect| match effect {
         Effect::SendControl(GatewayRequest::Permit(ask)) => Some(ask.clone()),
         _ => None,
     })
 }
 
-fn answer(harness: &mut Harness, ask: &PermitAsk, outcome: PermitOutcome) {
+fn answer(harness: &mut Harness, ask: &PermitRequest, outcome: PermitOutcome) {
     let answer = PermitAnswer {
         number: ask.number,
         outcome,
@@ -67,7 +67,7 @@
     harness.event(Event::Control(ControlReply::Permit(answer)));
 }
 
-fn grant(harness: &mut Harness, ask: &PermitAsk) -> BackendId {
+fn grant(harness: &mut Harness, ask: &PermitRequest) -> BackendId {
     let backend = ask.backends[0].clone();
     let outcome = PermitOutcome::Granted {
         backend: backend.clone(),
@@ -78,7 +78,7 @@
 }
 
 /// The question of a request that waits; it comes after the one for a spare permit.
-fn asked(harness: &mut Harness) -> PermitAsk {
+fn asked(harness: &mut Harness) -> PermitRequest {
     asks(harness).pop().expect("a question")
 }
 
@@ -156,7 +156,7 @@
     harness.attempt(reading.attempt, AttemptEvent::Prefilled { handle: 7 });
     assert!(harness.dispatches().is_empty());
     let ask = asked(&mut harness);
-    assert_eq!((ask.rank, &ask.backends), (0, &limited));
+    assert_eq!((ask.priority, &ask.backends), (0, &limited));
     grant(&mut harness, &ask);
     match harness.dispatch().job {
         Job::Generate { kv: Some(kv), .. } => assert_eq!(kv.handle, 7),
--- a/components/limits/src/bucket.rs
+++ b/components/limits/src/bucket.rs
@@ -1,27 +1,28 @@
-//! Permits of one back end: they come at its rate, and a few are kept.
+//! The token bucket of permits for one back end.
 //!
-//! Bound: a permit lasts [`PERMIT_LASTS`](crate::PERMIT_LASTS), and its request is on
-//! its way for 1.35 s at most: a connection has 150 ms to come up, and is given up
-//! when its bytes are not acknowledged for 1.2 s. So what reaches the back end in 4 s
-//! is at most `KEPT` + rate x (`KEPT_FOR` + 4 s + 0.5 s + 1.35 s), which is less than
-//! rate x 6 s + 5.
+//! Bound: a permit is valid for [`PERMIT_LIFETIME`](crate::PERMIT_LIFETIME), 0.5 s, and its
+//! request takes at most 1.35 s to reach the back end: a connection must be established
+//! within 150 ms, and it is closed when sent bytes stay unacknowledged for 1.2 s. At most
+//! `BASE_DEPTH` + rate x (`DEPTH_DURATION` + 4 s + 0.5 s + 1.35 s) requests therefore reach
+//! the back end in any 4 s, which is less than rate x 6 s + 5.
 
 use garnet_types::Millis;
 
 use crate::rate::RequestRate;
 
-/// One permit, in the unit in which they are counted.
+/// One permit, in the unit of the bucket.
 pub(crate) const PERMIT_MICROS: u64 = 1_000_000;
-/// Permits that are kept at most: a caller who comes after a pause finds one, and
-/// less urgent ones leave some of them to the more urgent.
-const KEPT: u64 = 3;
-/// Permits of so long a time are kept besides: at high rates callers come in bunches.
-const KEPT_FOR: Millis = Millis(150);
-/// A back end with a lower limit is sent one request in 10 s, since its recovery shows
-/// only in answers.
-const SLOWEST: RequestRate = RequestRate::from_micros_per_s(100_000);
+/// Permits that the bucket holds at any rate, so that a request after a pause is granted one
+/// at once and some can be reserved for more urgent requests.
+const BASE_DEPTH: u64 = 3;
+/// The bucket also holds the permits of this duration, since at high rates requests arrive in
+/// bursts.
+const DEPTH_DURATION: Millis = Millis(150);
+/// Lowest refill rate, one request in 10 s: the recovery of a back end with a lower limit shows
+/// only in its answers.
+const MIN_RATE: RequestRate = RequestRate::from_micros_per_s(100_000);
 
-/// Permits that may be handed out now.
+/// Permits that may be granted now.
 #[derive(Debug)]
 pub(crate) struct PermitBucket {
     micros: u64,
@@ -29,7 +30,7 @@
 }
 
 impl PermitBucket {
-    /// One without any permit: what another leader handed out may be under way.
+    /// An empty bucket: requests with permits of another leader may still be in flight.
     pub(crate) fn empty(now: Millis) -> Self {
         PermitBucket {
             micros: 0,
@@ -37,31 +38,31 @@
         }
     }
 
-    /// The rate at which permits come, for a back end that names `rate`.
-    pub(crate) fn pace(rate: RequestRate) -> RequestRate {
-        rate.max(SLOWEST)
+    /// The refill rate for a back end that reports the limit `rate`.
+    pub(crate) fn refill_rate(rate: RequestRate) -> RequestRate {
+        rate.max(MIN_RATE)
     }
 
-    /// Permits that are kept at most.
+    /// The capacity of the bucket.
     pub(crate) fn depth_micros(rate: RequestRate) -> u64 {
-        if rate <= SLOWEST {
+        if rate <= MIN_RATE {
             return PERMIT_MICROS;
         }
-        KEPT * PERMIT_MICROS + rate.micros_in(KEPT_FOR)
+        BASE_DEPTH * PERMIT_MICROS + rate.micros_in(DEPTH_DURATION)
     }
 
-    /// What is there now.
-    pub(crate) fn micros(&mut self, rate: RequestRate, now: Millis) -> u64 {
-        let come = Self::pace(rate).micros_in(now.since(self.filled_at));
-        // What is less than one unit stays in the time that has passed.
-        if come > 0 {
+    /// Refills the bucket and returns its content.
+    pub(crate) fn available_micros(&mut self, rate: RequestRate, now: Millis) -> u64 {
+        let refill = Self::refill_rate(rate).micros_in(now.since(self.filled_at));
+        // Keep the elapsed time until it yields a whole unit.
+        if refill > 0 {
             self.filled_at = self.filled_at.max(now);
         }
-        self.micros = (self.micros + come).min(Self::depth_micros(rate));
+        self.micros = (self.micros + refill).min(Self::depth_micros(rate));
         self.micros
     }
 
-    /// Takes one permit that is there.
+    /// Takes one permit out of the bucket.
     pub(crate) fn take(&mut self) {
         self.micros = self.micros.saturating_sub(PERMIT_MICROS);
     }
--- a/components/limits/src/demand.rs
+++ b/components/limits/src/demand.rs
@@ -1,39 +1,40 @@
-//! How many requests of which urgency ask for a back end.
+//! Demand for the permits of one back end, by request priority.
 
 use garnet_types::Millis;
 
-/// Distinct ranks.
-const RANKS: usize = 16;
-/// What was asked for counts for half after this time: long enough to see callers
-/// that come once a second, short enough to follow a swing of the mix.
-const HALVED: Millis = Millis::from_secs(2);
+/// Number of request priorities.
+const PRIORITY_COUNT: usize = 16;
+/// Half-life of the demand: long enough to cover callers that send one request a second, short
+/// enough to follow a change of the mix.
+const HALF_LIFE: Millis = Millis::from_secs(2);
 
-/// Requests a second that were asked for lately, by rank.
+/// Recent permit requests by priority, decaying exponentially.
 #[derive(Debug, Default)]
 pub(crate) struct Demand {
-    weights: [f64; RANKS],
-    at: Millis,
+    weights: [f64; PRIORITY_COUNT],
+    updated_at: Millis,
 }
 
 impl Demand {
-    /// Notes a request, or a part of one where others could take it as well.
-    pub(crate) fn note(&mut self, rank: u8, part: f64, now: Millis) {
-        let faded = self.faded(now);
+    /// Adds a request, or a share of one that several back ends can take.
+    pub(crate) fn add(&mut self, priority: u8, share: f64, now: Millis) {
+        let decay = self.decay(now);
         for weight in &mut self.weights {
-            *weight *= faded;
+            *weight *= decay;
         }
-        self.at = self.at.max(now);
-        self.weights[usize::from(rank).min(RANKS - 1)] += part;
+        self.updated_at = self.updated_at.max(now);
+        self.weights[usize::from(priority).min(PRIORITY_COUNT - 1)] += share;
     }
 
-    /// Requests a second that are more urgent than this rank.
-    pub(crate) fn more_urgent_per_s(&self, rank: u8, now: Millis) -> f64 {
-        let urgent = &self.weights[..usize::from(rank).min(RANKS - 1)];
+    /// Rate of the requests that are more urgent than `priority`.
+    pub(crate) fn more_urgent_per_s(&self, priority: u8, now: Millis) -> f64 {
+        let urgent = &self.weights[..usize::from(priority).min(PRIORITY_COUNT - 1)];
         let sum: f64 = urgent.iter().sum();
-        sum * self.faded(now) * std::f64::consts::LN_2 / HALVED.as_secs_f64()
+        sum * self.decay(now) * std::f64::consts::LN_2 / HALF_LIFE.as_secs_f64()
     }
 
-    fn faded(&self, now: Millis) -> f64 {
-        (-now.since(self.at).as_secs_f64() / HALVED.as_secs_f64()).exp2()
+    /// Factor by which the weights have decayed since the last update.
+    fn decay(&self, now: Millis) -> f64 {
+        (-now.since(self.updated_at).as_secs_f64() / HALF_LIFE.as_secs_f64()).exp2()
     }
 }
--- a/components/limits/src/ledger.rs
+++ b/components/limits/src/ledger.rs
@@ -1,7 +1,7 @@
-//! The limits that the leader knows, and the permits that it hands out.
+//! The leader's record of limits, and the permits that it grants.
 //!
-//! It is never logged: a new leader collects it from the gateways, and grants no permit
-//! before it has.
+//! The record is never replicated: a new leader collects the limits from the gateways, and
+//! grants no permit for a back end before it has received that back end's limit.
 
 use std::collections::BTreeMap;
 
@@ -9,91 +9,93 @@
 
 use crate::bucket::{PERMIT_MICROS, PermitBucket};
 use crate::demand::Demand;
-use crate::messages::{LimitEntry, LimitReport, PermitAnswer, PermitAsk, PermitOutcome};
+use crate::messages::{LimitEntry, LimitReport, PermitAnswer, PermitOutcome, PermitRequest};
 use crate::rate::RequestRate;
 
-/// Answers in a row that name no limit before it is over: one may come from a part
-/// of the back end that does not name it.
-const NAMELESS_ANSWERS: u32 = 2;
-/// Reports that are older than the end of a limit are ignored for so long.
-const ENDED_FOR: Millis = Millis::from_secs(10);
-/// A limit that no gateway has reported for so long is probed with the next request.
-const DUE_AFTER: Millis = Millis::from_secs(2);
-/// Retry time where none of the back ends has a known limit yet.
-const UNKNOWN_WAIT: Millis = Millis(100);
-/// Longest time after which a caller is to come back.
-const LONGEST_RETURN: Millis = Millis::from_secs(30);
-
-/// A back end that has named a limit.
+/// Consecutive answers without a limit that end it. A single one may come from a part of the
+/// back end that does not report limits.
+const ANSWERS_TO_END_LIMIT: u32 = 2;
+/// How long the end of a limit is remembered, to ignore reports from before it.
+const ENDED_LIMIT_LIFETIME: Millis = Millis::from_secs(10);
+/// A limit that no gateway has reported for this long is checked with the next request.
+const REPORT_DUE_AFTER: Millis = Millis::from_secs(2);
+/// Retry time if the leader has no limit on record for any of the back ends.
+const UNKNOWN_LIMIT_WAIT: Millis = Millis(100);
+/// Longest retry time for a refused caller.
+const MAX_RETRY_AFTER: Millis = Millis::from_secs(30);
+
+/// The limit of one back end and its permits.
 #[derive(Debug)]
-struct Limited {
+struct BackendLimit {
     rate: RequestRate,
-    /// When it last named it.
-    named_at: Millis,
-    /// When it was last reported at all.
-    heard_at: Millis,
-    /// Answers in a row that named none since.
-    nameless: u32,
+    /// When the back end last reported the limit.
+    limit_reported_at: Millis,
+    /// When the last report arrived, with or without a limit.
+    reported_at: Millis,
+    /// Consecutive answers without a limit since then.
+    answers_without_limit: u32,
     bucket: PermitBucket,
     demand: Demand,
-    /// When the next caller who was refused comes back.
-    next_return: Millis,
+    /// Retry time for the next refused caller.
+    next_retry_at: Millis,
 }
 
-impl Limited {
-    /// What a request of this rank has to find: more than one permit where more
-    /// urgent ones come, and all that are kept where these would take all.
-    fn needed_micros(&self, rank: u8, now: Millis) -> u64 {
+impl BackendLimit {
+    /// Content that the bucket needs for a request of this priority to be granted a permit: one
+    /// permit plus a reserve for more urgent requests, in proportion to their share of the
+    /// refill rate.
+    fn needed_micros(&self, priority: u8, now: Millis) -> u64 {
         let kept = PermitBucket::depth_micros(self.rate) - PERMIT_MICROS;
-        let pace = PermitBucket::pace(self.rate).per_s();
-        let urgent = self.demand.more_urgent_per_s(rank, now) / pace;
+        let refill_rate = PermitBucket::refill_rate(self.rate).per_s();
+        let urgent = self.demand.more_urgent_per_s(priority, now) / refill_rate;
         PERMIT_MICROS + (kept as f64 * urgent.min(1.0)) as u64
     }
 
-    /// Millionths of a permit more than a request of this rank has to find; below
-    /// zero where there are fewer.
-    fn surplus_micros(&mut self, rank: u8, now: Millis) -> i64 {
-        let has = self.bucket.micros(self.rate, now);
-        has as i64 - self.needed_micros(rank, now) as i64
+    /// Content of the bucket beyond [`Self::needed_micros`]; negative if there is less.
+    fn surplus_micros(&mut self, priority: u8, now: Millis) -> i64 {
+        let available = self.bucket.available_micros(self.rate, now);
+        available as i64 - self.needed_micros(priority, now) as i64
     }
 
+    /// Time in which the bucket gains `micros`.
     fn time_of(&self, micros: u64) -> Millis {
-        PermitBucket::pace(self.rate).time_of(micros)
+        PermitBucket::refill_rate(self.rate).time_of(micros)
     }
 }
 
-/// All limits.
+/// The limits of all back ends, as the leader has them on record.
 #[derive(Debug, Default)]
 pub struct LimitLedger {
-    limited: BTreeMap<BackendId, Limited>,
+    limits: BTreeMap<BackendId, BackendLimit>,
     ended: BTreeMap<BackendId, Millis>,
-    number: u64,
+    list_number: u64,
 }
 
 impl LimitLedger {
-    /// Rises with each change of [`Self::list`].
-    pub fn number(&self) -> u64 {
-        self.number
+    /// Version of [`Self::list`]; increases with each change.
+    pub fn list_number(&self) -> u64 {
+        self.list_number
     }
 
-    /// Back ends that have a limit, and which.
+    /// The limits, by back end.
     pub fn list(&self) -> Vec<LimitEntry> {
-        let entry = |(backend, limited): (&BackendId, &Limited)| LimitEntry {
+        let entry = |(backend, limit): (&BackendId, &BackendLimit)| LimitEntry {
             backend: backend.clone(),
-            rate: limited.rate,
+            rate: limit.rate,
         };
-        self.limited.iter().map(entry).collect()
+        self.limits.iter().map(entry).collect()
     }
 
     /// Back ends that have a limit.
     pub fn backends(&self) -> impl Iterator<Item = &BackendId> {
-        self.limited.keys()
+        self.limits.keys()
     }
 
-    /// Applies a report of a gateway.
-    pub fn note(&mut self, report: &LimitReport, now: Millis) {
+    /// Applies a gateway's report.
+    pub fn apply_report(&mut self, report: &LimitReport, now: Millis) {
         let at = now - report.ago;
-        self.ended.retain(|_, ended| now.since(*ended) < ENDED_FOR);
+        self.ended
+            .retain(|_, ended| now.since(*ended) < ENDED_LIMIT_LIFETIME);
         if self
             .ended
             .get(&report.backend)
@@ -102,102 +104,102 @@
             return;
         }
         match report.rate {
-            Some(rate) => self.named(&report.backend, rate, at, now),
-            None => self.named_none(&report.backend, at, now),
+            Some(rate) => self.limit_reported(&report.backend, rate, at, now),
+            None => self.no_limit_reported(&report.backend, at, now),
         }
     }
 
-    fn named(&mut self, backend: &BackendId, rate: RequestRate, at: Millis, now: Millis) {
-        let Some(limited) = self.limited.get_mut(backend) else {
-            let limited = Limited {
+    fn limit_reported(&mut self, backend: &BackendId, rate: RequestRate, at: Millis, now: Millis) {
+        let Some(limit) = self.limits.get_mut(backend) else {
+            let limit = BackendLimit {
                 rate,
-                named_at: at,
-                heard_at: now,
-                nameless: 0,
+                limit_reported_at: at,
+                reported_at: now,
+                answers_without_limit: 0,
                 bucket: PermitBucket::empty(now),
                 demand: Demand::default(),
-                next_return: now,
+                next_retry_at: now,
             };
-            self.limited.insert(backend.clone(), limited);
-            self.number += 1;
+            self.limits.insert(backend.clone(), limit);
+            self.list_number += 1;
             return;
         };
-        limited.heard_at = now;
-        if at < limited.named_at {
+        limit.reported_at = now;
+        if at < limit.limit_reported_at {
             return;
         }
-        limited.named_at = at;
-        limited.nameless = 0;
-        if limited.rate != rate {
-            // What has come in by now came at the old rate.
-            limited.bucket.micros(limited.rate, now);
-            limited.rate = rate;
-            self.number += 1;
+        limit.limit_reported_at = at;
+        limit.answers_without_limit = 0;
+        if limit.rate != rate {
+            // Refill at the old rate up to now.
+            limit.bucket.available_micros(limit.rate, now);
+            limit.rate = rate;
+            self.list_number += 1;
         }
     }
 
-    fn named_none(&mut self, backend: &BackendId, at: Millis, now: Millis) {
-        let Some(limited) = self.limited.get_mut(backend) else {
+    fn no_limit_reported(&mut self, backend: &BackendId, at: Millis, now: Millis) {
+        let Some(limit) = self.limits.get_mut(backend) else {
             return;
         };
-        if at <= limited.named_at {
+        if at <= limit.limit_reported_at {
             return;
         }
-        limited.heard_at = now;
-        limited.nameless += 1;
-        if limited.nameless >= NAMELESS_ANSWERS {
+        limit.reported_at = now;
+        limit.answers_without_limit += 1;
+        if limit.answers_without_limit >= ANSWERS_TO_END_LIMIT {
             self.forget(backend);
             self.ended.insert(backend.clone(), now);
         }
     }
 
-    /// Forgets a back end that is gone, or has started again.
+    /// Removes a back end that was removed from the fleet or has restarted.
     pub fn forget(&mut self, backend: &BackendId) {
-        if self.limited.remove(backend).is_some() {
-            self.number += 1;
+        if self.limits.remove(backend).is_some() {
+            self.list_number += 1;
         }
     }
 
-    /// Forgets all back ends but these.
-    pub fn keep(&mut self, is_known: impl Fn(&BackendId) -> bool) {
-        let before = self.limited.len();
-        self.limited.retain(|id, _| is_known(id));
-        if self.limited.len() != before {
-            self.number += 1;
+    /// Removes all back ends for which `is_known` is false.
+    pub fn retain(&mut self, is_known: impl Fn(&BackendId) -> bool) {
+        let before = self.limits.len();
+        self.limits.retain(|id, _| is_known(id));
+        if self.limits.len() != before {
+            self.list_number += 1;
         }
     }
 
-    /// Grants a permit, or gives the time until there will be one.
-    pub fn ask(&mut self, ask: &PermitAsk, now: Millis) -> PermitAnswer {
-        let known = ask.backends.iter();
-        let known = known.filter(|id| self.limited.contains_key(*id)).count();
-        let part = 1.0 / known.max(1) as f64;
+    /// Grants a permit, or returns the time until one is available.
+    pub fn request_permit(&mut self, request: &PermitRequest, now: Millis) -> PermitAnswer {
+        let limited = request.backends.iter();
+        let limited = limited.filter(|id| self.limits.contains_key(*id)).count();
+        let share = 1.0 / limited.max(1) as f64;
         let mut best: Option<(&BackendId, i64)> = None;
-        for id in &ask.backends {
-            let Some(limited) = self.limited.get_mut(id) else {
+        for id in &request.backends {
+            let Some(limit) = self.limits.get_mut(id) else {
                 continue;
             };
-            let surplus = limited.surplus_micros(ask.rank, now);
-            limited.demand.note(ask.rank, part, now);
-            if best.is_none_or(|(_, most)| surplus > most) {
+            let surplus = limit.surplus_micros(request.priority, now);
+            limit.demand.add(request.priority, share, now);
+            if best.is_none_or(|(_, best_surplus)| surplus > best_surplus) {
                 best = Some((id, surplus));
             }
         }
         let outcome = match best {
             Some((id, surplus)) if surplus >= 0 => self.grant(id, now),
-            _ => self.refuse(ask, now),
+            _ => self.refuse(request, now),
         };
         PermitAnswer {
-            number: ask.number,
+            number: request.number,
             outcome,
         }
     }
 
     fn grant(&mut self, id: &BackendId, now: Millis) -> PermitOutcome {
         let mut is_due = false;
-        if let Some(limited) = self.limited.get_mut(id) {
-            limited.bucket.take();
-            is_due = now.since(limited.heard_at) >= DUE_AFTER;
+        if let Some(limit) = self.limits.get_mut(id) {
+            limit.bucket.take();
+            is_due = now.since(limit.reported_at) >= REPORT_DUE_AFTER;
         }
         PermitOutcome::Granted {
             backend: id.clone(),
@@ -205,32 +207,35 @@
         }
     }
 
-    /// Gives each refused caller a time of its own: the next one at which a permit is
-    /// there that no other caller was referred to.
-    fn refuse(&mut self, ask: &PermitAsk, now: Millis) -> PermitOutcome {
+    /// Gives each refused caller a different retry time: the next one at which a permit is
+    /// available that no other caller was given.
+    fn refuse(&mut self, request: &PermitRequest, now: Millis) -> PermitOutcome {
         let mut wait = Millis::NEVER;
         let mut first: Option<(&BackendId, Millis)> = None;
-        for id in &ask.backends {
-            let Some(limited) = self.limited.get_mut(id) else {
+        for id in &request.backends {
+            let Some(limit) = self.limits.get_mut(id) else {
                 continue;
             };
-            let lacking = limited.surplus_micros(ask.rank, now).min(0).unsigned_abs();
-            let own_wait = limited.time_of(lacking);
+            let missing = limit
+                .surplus_micros(request.priority, now)
+                .min(0)
+                .unsigned_abs();
+            let own_wait = limit.time_of(missing);
             wait = wait.min(own_wait);
-            let free_at = limited.next_return.max(now + own_wait);
+            let free_at = limit.next_retry_at.max(now + own_wait);
             if first.is_none_or(|(_, at)| free_at < at) {
                 first = Some((id, free_at));
             }
         }
         let Some((id, free_at)) = first else {
             return PermitOutcome::Refused {
-                wait: UNKNOWN_WAIT,
-                retry_after: UNKNOWN_WAIT,
+                wait: UNKNOWN_LIMIT_WAIT,
+                retry_after: UNKNOWN_LIMIT_WAIT,
             };
         };
-        let latest = now + LONGEST_RETURN;
-        if let Some(limited) = self.limited.get_mut(id) {
-            limited.next_return = (free_at + limited.time_of(PERMIT_MICROS)).min(latest);
+        let latest = now + MAX_RETRY_AFTER;
+        if let Some(limit) = self.limits.get_mut(id) {
+            limit.next_retry_at = (free_at + limit.time_of(PERMIT_MICROS)).min(latest);
         }
         PermitOutcome::Refused {
             wait,
--- a/components/limits/src/lib.rs
+++ b/components/limits/src/lib.rs
@@ -1,28 +1,26 @@
-//! Back ends that name how many requests a second they take from all gateways
-//! together.
+//! Rate limits that back ends set for the requests of all gateways together.
 //!
-//! An overloaded back end names the limit in its answers. A gateway that knows the limit
-//! sends there only with a permit of the leader ([`KnownLimits`]). The leader grants
-//! permits at that rate, the most urgent requests first ([`LimitLedger`]).
+//! An overloaded back end reports a limit, in requests a second, in its answers. A gateway that
+//! knows the limit sends a request there only with a permit of the leader ([`GatewayLimits`]).
+//! The leader grants permits at that rate, to the most urgent requests first ([`LimitLedger`]).
 //!
-//! Invariant: what all gateways together send a back end in any four seconds stays
-//! within one and a half times its limit and five more. No part of it is a gateway's
-//! own, so it holds at any number of them, and a gateway or a leader that starts
-//! anew begins with none.
+//! Invariant: in any four seconds, all gateways together send a back end at most one and a half
+//! times its limit plus five requests. No gateway has a fixed share of the limit, so this holds
+//! for any number of gateways. A gateway or leader starts without permits.
 //!
 //! Contract: no socket, file or clock.
 
 mod bucket;
 mod demand;
-mod known;
+mod gateway_limits;
 mod ledger;
 mod messages;
 mod rate;
 
-pub use known::{Asking, KnownLimits};
+pub use gateway_limits::{GatewayLimits, PermitLookup};
 pub use ledger::LimitLedger;
 pub use messages::{
-    LimitEntry, LimitList, LimitReport, LimitReports, PERMIT_LASTS, PermitAnswer, PermitAsk,
-    PermitOutcome,
+    LimitEntry, LimitList, LimitReport, LimitReports, PERMIT_LIFETIME, PermitAnswer, PermitOutcome,
+    PermitRequest,
 };
 pub use rate::{RateError, RequestRate};
--- a/components/limits/src/messages.rs
+++ b/components/limits/src/messages.rs
@@ -1,25 +1,25 @@
-//! Messages of gateways and the leader about limits and permits.
+//! Messages between gateways and the leader about limits and permits.
 
 use garnet_types::{BackendId, Millis};
 use serde::{Deserialize, Serialize};
 
 use crate::rate::RequestRate;
 
-/// A permit may be used for so long after it was asked for, by the clock of the
-/// gateway that asked: an answer of the leader and the request's own way out.
-pub const PERMIT_LASTS: Millis = Millis(500);
+/// How long a permit is valid, counted from its request by the clock of the requesting gateway.
+/// It covers the leader's answer and the time until the request is sent.
+pub const PERMIT_LIFETIME: Millis = Millis(500);
 
-/// The limit in an answer of a back end.
+/// The limit that one answer of a back end reported.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LimitReport {
     /// The back end.
     pub backend: BackendId,
-    /// Which start of it.
+    /// The start of the back end that answered.
     pub start: u64,
-    /// The limit; `None` where the answer names none.
+    /// The limit, or `None` if the answer reported none.
     pub rate: Option<RequestRate>,
-    /// Age of the report: time since the answer came that named a limit, or since the
-    /// request was sent whose answer named none.
+    /// Age of the report: time since an answer with a limit arrived, or since the request was
+    /// sent whose answer reported none.
     pub ago: Millis,
 }
 
@@ -41,54 +41,55 @@
     pub rate: RequestRate,
 }
 
-/// All limits that the leader of a term knows.
+/// All limits that the leader of a term has on record.
 #[derive(Debug, Clone, Copy)]
 pub struct LimitList<'a> {
     /// The term.
     pub term: u64,
-    /// Rises with each change of the list in the term.
+    /// Version of the list; increases with each change within the term.
     pub number: u64,
-    /// Number of the last [`LimitReports`] of the gateway that is applied.
+    /// Number of the gateway's last [`LimitReports`] that the leader has applied.
     pub reports_taken: u64,
     /// The limits.
     pub limits: &'a [LimitEntry],
 }
 
-/// A gateway has a request that one of these back ends could take.
+/// A gateway's request for a permit at one of several back ends.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PermitAsk {
-    /// The gateway's name for the question.
+pub struct PermitRequest {
+    /// Number by which the gateway matches the answer.
     pub number: u64,
-    /// The back ends; any of them will do.
+    /// The back ends that can take the request.
     pub backends: Vec<BackendId>,
-    /// Urgency of the request, 0 first.
-    pub rank: u8,
+    /// Priority of the request, 0 first.
+    #[serde(rename = "rank")]
+    pub priority: u8,
 }
 
-/// The leader's answer to a [`PermitAsk`].
+/// The leader's answer to a [`PermitRequest`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PermitAnswer {
-    /// Copied from the question.
+    /// Number of the permit request.
     pub number: u64,
-    /// What is allowed.
+    /// Whether a permit was granted.
     pub outcome: PermitOutcome,
 }
 
-/// What a gateway may do.
+/// The leader's decision on a [`PermitRequest`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PermitOutcome {
-    /// Send one request, within [`PERMIT_LASTS`].
+    /// The gateway may send one request within [`PERMIT_LIFETIME`].
     Granted {
-        /// Where to.
+        /// The back end that the permit is for.
         backend: BackendId,
-        /// Whether no gateway has reported the limit of the back end for a while.
+        /// Whether no gateway has reported the limit of the back end recently.
         is_due: bool,
     },
-    /// Send none.
+    /// The gateway may send nothing now.
     Refused {
-        /// Until then none of the back ends has a permit for a request of this rank.
+        /// Time until one of the back ends has a permit for a request of this priority.
         wait: Millis,
-        /// Retry time of this request's caller; each caller gets its own.
+        /// Retry time for this request's caller; each caller gets a different one.
         retry_after: Millis,
     },
 }
--- a/components/limits/src/rate.rs
+++ b/components/limits/src/rate.rs
@@ -1,4 +1,4 @@
-//! Requests a second, as a back end names them.
+//! Request rates as back ends report them.
 
 use std::fmt;
 use std::str::FromStr;
@@ -8,14 +8,12 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// Digits behind the point that count; the rest is dropped, so that nobody gets more
-/// than was named.
+/// Decimal places that are kept; further ones are dropped, so that a rate is never rounded up.
 const FRACTION_DIGITS: usize = 6;
-/// Millionths in one.
-const MICROS: u64 = 1_000_000;
-/// Highest rate, in requests a second: a thousand times what the
-/// fleet is designed for.
-const HIGHEST_PER_S: u64 = 2_700_000;
+/// Millionths of a request in one request.
+const MICROS_PER_REQUEST: u64 = 1_000_000;
+/// Highest rate, in requests a second: a thousand times the fleet's design load.
+const MAX_PER_S: u64 = 2_700_000;
 
 /// A rate of requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -24,16 +22,18 @@
 }
 
 impl RequestRate {
-    /// A rate in millionths of a request a second.
+    /// Creates a rate from millionths of a request a second.
     pub const fn from_micros_per_s(micros_per_s: u64) -> Self {
         RequestRate { micros_per_s }
     }
 
-    /// The limit that an answer names: of several values the lowest.
+    /// The lowest of the limits in one answer.
     ///
     /// # Errors
-    /// Where any of them is no rate.
-    pub fn named_in<'a>(values: impl Iterator<Item = &'a [u8]>) -> Result<Option<Self>, RateError> {
+    /// If any value is not a rate.
+    pub fn lowest_in<'a>(
+        values: impl Iterator<Item = &'a [u8]>,
+    ) -> Result<Option<Self>, RateError> {
         let read = |value| -> Result<RequestRate, RateError> {
             let text = std::str::from_utf8(value).map_err(|_| RateError::NotDecimal)?;
             text.parse()
@@ -42,13 +42,13 @@
         Ok(rates?.into_iter().min())
     }
 
-    /// Millionths of a request that come in so long a time.
+    /// Millionths of a request in `time` at this rate.
     pub(crate) fn micros_in(self, time: Millis) -> u64 {
         let micros = u128::from(self.micros_per_s) * u128::from(time.0) / 1000;
         u64::try_from(micros).unwrap_or(u64::MAX)
     }
 
-    /// The time in which so many millionths of a request come, rounded up.
+    /// Time that `micros` millionths of a request take at this rate, rounded up.
     pub(crate) fn time_of(self, micros: u64) -> Millis {
         let millis = u128::from(micros) * 1000;
         let millis = millis.div_ceil(u128::from(self.micros_per_s.max(1)));
@@ -57,14 +57,14 @@
 
     /// Requests a second.
     pub fn per_s(self) -> f64 {
-        self.micros_per_s as f64 / MICROS as f64
+        self.micros_per_s as f64 / MICROS_PER_REQUEST as f64
     }
 }
 
 impl fmt::Display for RequestRate {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let whole = self.micros_per_s / MICROS;
-        let fraction = format!("{:06}", self.micros_per_s % MICROS);
+        let whole = self.micros_per_s / MICROS_PER_REQUEST;
+        let fraction = format!("{:06}", self.micros_per_s % MICROS_PER_REQUEST);
         match fraction.trim_end_matches('0') {
             "" => write!(formatter, "{whole}"),
             digits => write!(formatter, "{whole}.{digits}"),
@@ -72,7 +72,7 @@
     }
 }
 
-/// What is wrong with a rate.
+/// Why a text is not a rate.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display, Error)]
 pub enum RateError {
     /// it is no decimal number from 0 on
@@ -84,7 +84,7 @@
 
     fn from_str(text: &str) -> Result<Self, RateError> {
         let decimal = Decimal::parse(text, FRACTION_DIGITS).ok_or(RateError::NotDecimal)?;
-        let highest = HIGHEST_PER_S * MICROS;
-        Ok(RequestRate::from_micros_per_s(decimal.parts.min(highest)))
+        let max = MAX_PER_S * MICROS_PER_REQUEST;
+        Ok(RequestRate::from_micros_per_s(decimal.parts.min(max)))
     }
 }
--- a/components/limits/tests/fleet.rs
+++ b/components/limits/tests/fleet.rs
@@ -1,6 +1,6 @@
-//! A back end that names a limit, before one gateway or before hundreds, in virtual
-//! time. Whatever happens to gateways and leaders, it gets no more from all of them
-//! than one and a half times its limit and five more in any four seconds.
+//! A back end with a rate limit behind one to hundreds of gateways, in virtual time. Whatever
+//! faults gateways and leaders have, all gateways together send it at most one and a half times
+//! its limit plus five requests in any four seconds.
 
 mod world;
 
@@ -22,7 +22,7 @@
     }
 }
 
-fn holds(plan: &Plan) -> Outcome {
+fn run_within_limit(plan: &Plan) -> Outcome {
     let outcome = run(plan);
     let allowed = outcome.allowed;
     let most = outcome.most_in_window;
@@ -30,78 +30,88 @@
     outcome
 }
 
-/// Nothing happens: what was named is used, whatever the number of gateways.
+/// Without faults the limit is used up, whatever the number of gateways.
 #[rstest]
-fn a_limit_is_kept_and_used(
+fn a_limit_is_respected_and_used(
     #[values(1, 7, 66, 985)] gateways: usize,
     #[values("0.25", "1.1", "20")] limit: &str,
     #[values(1, 2, 3)] seed: u64,
 ) {
-    let outcome = holds(&plan(gateways, limit, seed));
-    // All hear of it within that time, also those that have sent nothing there.
-    assert!(outcome.most_of_all <= outcome.allowed, "{outcome:?}");
-    let named: f64 = limit.parse().expect("a number");
-    let wanted = 0.8 * named * LENGTH.as_secs_f64();
+    let outcome = run_within_limit(&plan(gateways, limit, seed));
+    // All gateways know the limit by then, also those that sent nothing there.
+    assert!(
+        outcome.most_in_window_of_all <= outcome.allowed,
+        "{outcome:?}"
+    );
+    let limit_per_s: f64 = limit.parse().expect("a number");
+    let wanted = 0.8 * limit_per_s * LENGTH.as_secs_f64();
     let arrived = outcome.arrived as f64;
     assert!(arrived + 2.0 >= wanted, "{arrived} of {wanted}");
 }
 
-/// A back end that takes nothing is sent one request in ten seconds, so that its
-/// recovery is heard of.
+/// A back end with a limit of 0 is sent one request in ten seconds, since its recovery shows only
+/// in answers.
 #[rstest]
-fn one_that_takes_nothing_is_tried_now_and_then(
+fn a_back_end_with_limit_zero_is_probed(
     #[values(1, 7, 66, 985)] gateways: usize,
     #[values(1, 2, 3)] seed: u64,
 ) {
-    let outcome = holds(&plan(gateways, "0", seed));
+    let outcome = run_within_limit(&plan(gateways, "0", seed));
     assert!((2..=5).contains(&outcome.arrived), "{}", outcome.arrived);
 }
 
-/// Restarts, cuts, suspensions and new leaders, alone and overlapping.
+/// Restarts, disconnections, suspensions, lost messages and new leaders, alone and overlapping.
 #[rstest]
-fn a_limit_is_kept_through_faults(
+fn a_limit_is_respected_through_faults(
     #[values(1, 7, 66, 985)] gateways: usize,
     #[values("0", "0.25", "1.1", "20")] limit: &str,
     #[values(1, 2, 3, 4, 5)] seed: u64,
 ) {
     let all = [
         Fault::Restart,
-        Fault::Cut,
+        Fault::Disconnection,
         Fault::Suspension,
         Fault::NoLeader,
         Fault::LostMessages,
     ];
-    let calm = plan(gateways, limit, seed);
+    let without_faults = plan(gateways, limit, seed);
     for fault in all {
         let faults = vec![fault; 8];
-        holds(&Plan {
+        run_within_limit(&Plan {
             faults,
-            ..calm.clone()
+            ..without_faults.clone()
         });
     }
     let faults = all.repeat(6);
-    holds(&Plan { faults, ..calm });
+    run_within_limit(&Plan {
+        faults,
+        ..without_faults
+    });
 }
 
-/// The most urgent are served first: a third of the callers is of each rank.
+/// A third of the callers has each priority.
 #[rstest]
 fn the_most_urgent_are_served_first(
     #[values(1, 7, 66, 985)] gateways: usize,
     #[values(1, 2, 3)] seed: u64,
 ) {
-    let outcome = holds(&plan(gateways, "10", seed));
-    let [urgent, .., patient] = outcome.served_by_rank;
-    assert!(urgent >= 4 * patient, "{:?}", outcome.served_by_rank);
+    let outcome = run_within_limit(&plan(gateways, "10", seed));
+    let [most_urgent, .., least_urgent] = outcome.served_by_priority;
+    assert!(
+        most_urgent >= 4 * least_urgent,
+        "{:?}",
+        outcome.served_by_priority
+    );
 }
 
-/// Whoever is refused hears so before the route's time is over, and at once where
-/// the leader has nothing to give.
+/// Refusals come within one round trip to the leader, or at once if the gateway knows that the
+/// leader has no permit.
 #[rstest]
-fn who_is_refused_hears_so_at_once(
+fn refusals_come_within_a_round_trip(
     #[values(7, 66, 985)] gateways: usize,
     #[values(1, 2, 3)] seed: u64,
 ) {
-    let outcome = holds(&plan(gateways, "1.1", seed));
+    let outcome = run_within_limit(&plan(gateways, "1.1", seed));
     assert!(outcome.refused > 1_000, "{}", outcome.refused);
     assert!(
         outcome.longest_refusal <= world::ROUND_TRIP,
@@ -110,15 +120,15 @@
     );
 }
 
-/// A limit that is named no longer is over at all gateways.
+/// A limit that the back end no longer reports ends at all gateways.
 #[rstest]
-fn a_limit_ends_when_it_is_named_no_longer(
+fn a_limit_ends_when_it_is_no_longer_reported(
     #[values(1, 7, 66, 985)] gateways: usize,
     #[values("0", "1.1", "20")] limit: &str,
     #[values(1, 2, 3)] seed: u64,
 ) {
     let ends_at = Some(Millis::from_secs(15));
-    let outcome = holds(&Plan {
+    let outcome = run_within_limit(&Plan {
         ends_at,
         ..plan(gateways, limit, seed)
     });
@@ -130,13 +140,13 @@
     );
 }
 
-/// Also where leaders change meanwhile.
+/// A limit ends also if the leader changes meanwhile.
 #[rstest]
 fn a_limit_ends_under_a_new_leader(
     #[values(7, 66, 985)] gateways: usize,
     #[values(1, 2, 3)] seed: u64,
 ) {
-    let outcome = holds(&Plan {
+    let outcome = run_within_limit(&Plan {
         ends_at: Some(Millis::from_secs(15)),
         faults: vec![Fault::NoLeader; 4],
         ..plan(gateways, "1.1", seed)
--- a/components/limits/tests/rate.rs
+++ b/components/limits/tests/rate.rs
@@ -1,4 +1,4 @@
-//! What back ends write as their limit.
+//! Parsing of the rates that back ends report.
 
 use garnet_limits::{RateError, RequestRate};
 use proptest::prelude::*;
@@ -16,13 +16,13 @@
 #[case(".5", 500_000)]
 #[case("000012.000", 12_000_000)]
 #[case("99999999999999999999999999999999", 2_700_000_000_000)]
-fn a_decimal_number_is_read(#[case] text: &str, #[case] micros_per_s: u64) {
+fn decimal_numbers_are_parsed(#[case] text: &str, #[case] micros_per_s: u64) {
     let rate: RequestRate = text.parse().expect("a rate");
     assert_eq!(rate, RequestRate::from_micros_per_s(micros_per_s));
 }
 
 #[rstest]
-fn what_is_none_changes_nothing(
+fn other_texts_are_not_rates(
     #[values(
         "",
         " ",
@@ -49,27 +49,26 @@
 #[case::none(&[], Ok(None))]
 #[case::one(&["1.1"], Ok(Some("1.1")))]
 #[case::the_lowest_of_two(&["3", "1.5"], Ok(Some("1.5")))]
-#[case::one_of_two_is_none(&["3", "x"], Err(RateError::NotDecimal))]
-fn an_answer_names_the_lowest(
+#[case::one_of_two_is_malformed(&["3", "x"], Err(RateError::NotDecimal))]
+fn the_lowest_of_several_limits_counts(
     #[case] values: &[&str],
     #[case] expected: Result<Option<&str>, RateError>,
 ) {
-    let named = RequestRate::named_in(values.iter().map(|value| value.as_bytes()));
+    let named = RequestRate::lowest_in(values.iter().map(|value| value.as_bytes()));
     let expected = expected.map(|rate| rate.map(|rate| rate.parse().expect("a rate")));
     assert_eq!(named, expected);
-    let no_text = [&[0xff_u8][..]];
-    assert!(RequestRate::named_in(no_text.into_iter()).is_err());
+    let invalid_utf8 = [&[0xff_u8][..]];
+    assert!(RequestRate::lowest_in(invalid_utf8.into_iter()).is_err());
 }
 
 proptest! {
-    /// A rate is told as it is read.
     #[test]
-    fn a_rate_is_written_as_it_is_read(micros in 0..2_700_000_000_000_u64) {
+    fn a_displayed_rate_parses_to_itself(micros in 0..2_700_000_000_000_u64) {
         let rate = RequestRate::from_micros_per_s(micros);
         prop_assert_eq!(rate.to_string().parse(), Ok(rate));
     }
 
-    /// Nobody gets more than was named.
+    /// Rounding up would allow more requests than the back end takes.
     #[test]
     fn a_rate_is_never_rounded_up(whole in 0..100_000_u64, fraction in "[0-9]{1,30}") {
         let text = format!("{whole}.{fraction}");
@@ -79,9 +78,8 @@
         prop_assert!(rate.per_s() > named - 1.1e-6);
     }
 
-    /// Whatever comes is read or refused.
     #[test]
-    fn any_text_is_borne(text in ".*") {
-        let _read = text.parse::<RequestRate>();
+    fn parsing_never_panics(text in ".*") {
+        let _parsed = text.parse::<RequestRate>();
     }
 }
--- a/components/limits/tests/world/mod.rs
+++ b/components/limits/tests/world/mod.rs
@@ -1,105 +1,106 @@
-//! Gateways, a leader and one back end, with messages that take their time.
+//! Simulation of gateways, a leader and one back end, with message delays.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
 use garnet_limits::{
-    Asking, KnownLimits, LimitEntry, LimitLedger, LimitList, LimitReports, PermitAnswer, PermitAsk,
-    RequestRate,
+    GatewayLimits, LimitEntry, LimitLedger, LimitList, LimitReports, PermitAnswer, PermitLookup,
+    PermitRequest, RequestRate,
 };
 use garnet_types::{BackendId, Millis};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// One way between a gateway and the leader, at most.
-const LONGEST_WAY_MS: u64 = 40;
-/// There and back.
-pub const ROUND_TRIP: Millis = Millis(2 * LONGEST_WAY_MS);
-/// A gateway waits so long for the leader's answer.
-const PATIENCE: Millis = Millis(250);
-/// From a gateway to the back end: usually, ...
-const USUAL_TRANSIT_MS: u64 = 30;
-/// ... and where a connection comes up slowly.
-const LONGEST_TRANSIT_MS: u64 = 1_350;
-/// One request in so many takes that long.
-const SLOW_TRANSITS: u32 = 10;
-const WORK: Millis = Millis(20);
-/// When the back end begins to name its limit.
-const NAMED_FROM: Millis = Millis::from_secs(3);
-/// Windows are judged from so long after that.
-const CONTACT: Millis = Millis::from_secs(3);
+/// Longest one-way delay between a gateway and the leader.
+const MAX_LEADER_DELAY_MS: u64 = 40;
+/// Longest round trip between a gateway and the leader.
+pub const ROUND_TRIP: Millis = Millis(2 * MAX_LEADER_DELAY_MS);
+/// How long a gateway waits for the leader's answer.
+const PERMIT_TIMEOUT: Millis = Millis(250);
+/// Longest usual delay from a gateway to the back end.
+const MAX_USUAL_TRANSIT_MS: u64 = 30;
+/// Longest delay from a gateway to the back end over a connection that is slow to establish.
+const MAX_SLOW_TRANSIT_MS: u64 = 1_350;
+/// One in this many requests has a slow connection.
+const REQUESTS_PER_SLOW_TRANSIT: u32 = 10;
+/// Time in which the back end answers a request.
+const SERVICE_TIME: Millis = Millis(20);
+/// When the back end begins to report its limit.
+const LIMIT_START: Millis = Millis::from_secs(3);
+/// Windows are checked from this long after the first reported limit.
+const SETTLING_TIME: Millis = Millis::from_secs(3);
 const WINDOW: Millis = Millis::from_secs(4);
-/// A gateway counts as told from so long after its answer.
-const TOLD_AFTER: Millis = Millis(500);
-const LONGEST_FAULT_MS: u64 = 6_000;
+/// A gateway counts as informed from this long after the first answer with the limit.
+const INFORMED_AFTER: Millis = Millis(500);
+const MAX_FAULT_MS: u64 = 6_000;
 
-/// Something that happens.
+/// A fault to inject.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
-    /// A gateway starts anew.
+    /// A gateway restarts.
     Restart,
-    /// A gateway is cut off from the leader.
-    Cut,
-    /// A gateway stands still.
+    /// A gateway is disconnected from the leader.
+    Disconnection,
+    /// A gateway's process is suspended.
     Suspension,
-    /// Nobody leads, then another one.
+    /// There is no leader for a while, then a new one.
     NoLeader,
-    /// Words of a gateway are lost on a connection that stays.
+    /// Messages of a gateway are lost while its connection stays.
     LostMessages,
 }
 
-/// What is played.
+/// Parameters of a run.
 #[derive(Debug, Clone)]
 pub struct Plan {
     pub gateways: usize,
     pub limit: RequestRate,
     pub requests_per_s: f64,
-    /// Each strikes at a moment of its own.
+    /// Faults, each injected at a random time.
     pub faults: Vec<Fault>,
-    /// When the back end names its limit no longer.
+    /// When the back end stops reporting its limit.
     pub ends_at: Option<Millis>,
     pub length: Millis,
     pub seed: u64,
 }
 
-/// What came of it.
+/// Result of a run.
 #[derive(Debug, Default)]
 pub struct Outcome {
-    /// Arrivals in the worst window, from gateways that had been told.
+    /// Most arrivals in any window, of requests from informed gateways.
     pub most_in_window: usize,
-    /// The same from all gateways, whether they had been told or not.
-    pub most_of_all: usize,
+    /// Most arrivals in any window, of requests from all gateways.
+    pub most_in_window_of_all: usize,
     pub allowed: usize,
-    /// Arrivals from all gateways, from the first judged moment on.
+    /// Arrivals from all gateways within the checked period.
     pub arrived: usize,
     pub arrived_after_end: usize,
-    /// Gateways that know a limit at the end.
+    /// Gateways that hold a limit at the end.
     pub still_limited: usize,
     pub refused: usize,
     pub longest_refusal: Millis,
-    pub served_by_rank: [usize; 3],
+    pub served_by_priority: [usize; 3],
 }
 
 #[derive(Debug)]
 enum Event {
     Request,
     Watch(usize, u64),
-    /// Words and a watch reach the leader.
+    /// A watch and a gateway's pending reports reach the leader.
     Reports(usize, u64, Option<LimitReports>),
-    Ask(usize, u64, PermitAsk),
-    /// Its list reaches a gateway.
-    List(usize, u64, ToldList),
+    Ask(usize, u64, PermitRequest),
+    /// The leader's list reaches a gateway.
+    List(usize, u64, SentList),
     Permit(usize, u64, PermitAnswer),
-    /// A gateway has waited long enough for the leader.
+    /// A gateway's wait for a permit times out.
     TimedOut(usize, u64, u64),
     Arrives(usize, u64, Millis, u8),
     Answer(usize, u64, Millis, bool),
-    Strike(Fault),
+    Inject(Fault),
     NewLeader,
 }
 
 #[derive(Debug)]
-struct ToldList {
+struct SentList {
     term: u64,
     number: u64,
     reports_taken: u64,
@@ -108,25 +109,26 @@
 
 #[derive(Default)]
 struct Gateway {
-    limits: KnownLimits,
-    /// Rises when it starts anew.
-    life: u64,
-    /// Rises when it finds the leader anew.
+    limits: GatewayLimits,
+    /// Increases with each restart.
+    incarnation: u64,
+    /// Increases with each new connection to a leader.
     connection: u64,
-    cut_until: Millis,
-    still_until: Millis,
-    loses_until: Millis,
-    /// When it passed an answer on that named the limit, in this life.
-    told_at: Option<Millis>,
-    /// Requests that wait for the leader, by the number of the question.
+    disconnected_until: Millis,
+    suspended_until: Millis,
+    losing_messages_until: Millis,
+    /// When this incarnation first received an answer with the limit.
+    limit_received_at: Option<Millis>,
+    /// Requests that wait for a permit, by the number of the permit request.
     waiting: BTreeMap<u64, (Millis, u8)>,
 }
 
 struct Leader {
     term: u64,
     ledger: LimitLedger,
-    /// Of each gateway's connection: the list it was told, and its last reports.
-    told: BTreeMap<(usize, u64), (u64, u64)>,
+    /// By gateway and connection: the numbers of the last list sent and of the last reports
+    /// applied.
+    sent_lists: BTreeMap<(usize, u64), (u64, u64)>,
 }
 
 struct World<'a> {
@@ -139,12 +141,12 @@
     leader: Option<Leader>,
     term: u64,
     id: BackendId,
-    /// When each request came, and whether its gateway had been told.
+    /// When each request arrived, and whether its gateway was informed.
     arrivals: Vec<(Millis, bool)>,
     outcome: Outcome,
 }
 
-/// Plays it.
+/// Runs a simulation.
 pub fn run(plan: &Plan) -> Outcome {
     let mut world = World::new(plan);
     while let Some(Reverse((at, number))) = world.queue.pop() {
@@ -153,10 +155,10 @@
         }
         world.now = at;
         if let Some(event) = world.events.remove(&number) {
-            world.take(event);
+            world.handle(event);
         }
     }
-    world.judge()
+    world.finish()
 }
 
 impl<'a> World<'a> {
@@ -177,18 +179,18 @@
         world.schedule(Millis::ZERO, Event::NewLeader);
         world.schedule(Millis(500), Event::Request);
         for gateway in 0..plan.gateways {
-            let at = Millis(world.random.random_range(0..world.interval().0 + 1));
+            let at = Millis(world.random.random_range(0..world.watch_interval().0 + 1));
             world.schedule(at, Event::Watch(gateway, 0));
         }
         for fault in &plan.faults {
             let at = Millis(world.random.random_range(1_000..plan.length.0 - 3_000));
-            world.schedule(at, Event::Strike(*fault));
+            world.schedule(at, Event::Inject(*fault));
         }
         world
     }
 
-    /// As gateways ask.
-    fn interval(&self) -> Millis {
+    /// Interval between the watches of a gateway.
+    fn watch_interval(&self) -> Millis {
         Millis((self.plan.gateways as u64 * 4).clamp(30, 250))
     }
 
@@ -198,17 +200,17 @@
         self.queue.push(Reverse((at, number)));
     }
 
-    fn after(&mut self, longest_ms: u64, event: Event) {
-        let at = self.now + Millis(self.random.random_range(1..longest_ms + 1));
+    fn schedule_within(&mut self, max_ms: u64, event: Event) {
+        let at = self.now + Millis(self.random.random_range(1..max_ms + 1));
         self.schedule(at, event);
     }
 
-    fn names_limit(&self) -> bool {
-        let is_over = self.plan.ends_at.is_some_and(|end| self.now >= end);
-        self.now >= NAMED_FROM && !is_over
+    fn reports_limit(&self) -> bool {
+        let has_ended = self.plan.ends_at.is_some_and(|end| self.now >= end);
+        self.now >= LIMIT_START && !has_ended
     }
 
-    /// A gateway that stands still finds what came when it goes on.
+    /// The gateway that handles an event. A suspended gateway handles it when it resumes.
     fn gateway_of(event: &Event) -> Option<usize> {
         match event {
             Event::Watch(gateway, ..)
@@ -220,9 +222,9 @@
         }
     }
 
-    fn take(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         if let Some(gateway) = Self::gateway_of(&event) {
-            let until = self.gateways[gateway].still_until;
+            let until = self.gateways[gateway].suspended_until;
             if until > self.now {
                 self.schedule(until, event);
                 return;
@@ -230,44 +232,46 @@
         }
         match event {
             Event::Request => self.request(),
-            Event::Watch(gateway, life) => self.watch(gateway, life),
+            Event::Watch(gateway, incarnation) => self.watch(gateway, incarnation),
             Event::Reports(gateway, connection, reports) => {
                 self.reports(gateway, connection, reports)
             }
             Event::Ask(gateway, connection, ask) => self.ask(gateway, connection, &ask),
-            Event::List(gateway, connection, told) => {
-                if self.is_heard(gateway, connection) {
+            Event::List(gateway, connection, list) => {
+                if self.is_connected(gateway, connection) {
                     let list = LimitList {
-                        term: told.term,
-                        number: told.number,
-                        reports_taken: told.reports_taken,
-                        limits: &told.limits,
+                        term: list.term,
+                        number: list.number,
+                        reports_taken: list.reports_taken,
+                        limits: &list.limits,
                     };
-                    self.gateways[gateway].limits.take_list(list, self.now);
+                    self.gateways[gateway].limits.apply_list(list, self.now);
                 }
             }
             Event::Permit(gateway, connection, answer) => {
-                if self.is_heard(gateway, connection) {
+                if self.is_connected(gateway, connection) {
                     self.permit(gateway, &answer);
                 }
             }
-            Event::TimedOut(gateway, life, number) => {
-                if self.gateways[gateway].life == life {
+            Event::TimedOut(gateway, incarnation, number) => {
+                if self.gateways[gateway].incarnation == incarnation {
                     self.end_waiting(gateway, number);
                 }
             }
-            Event::Arrives(gateway, life, sent, rank) => self.arrives(gateway, life, sent, rank),
-            Event::Answer(gateway, life, sent, names) => {
-                self.answer(gateway, life, sent, names);
+            Event::Arrives(gateway, incarnation, sent, priority) => {
+                self.arrives(gateway, incarnation, sent, priority)
             }
-            Event::Strike(fault) => self.strike(fault),
+            Event::Answer(gateway, incarnation, sent, has_limit) => {
+                self.answer(gateway, incarnation, sent, has_limit);
+            }
+            Event::Inject(fault) => self.inject(fault),
             Event::NewLeader => self.new_leader(),
         }
     }
 
-    fn is_heard(&self, gateway: usize, connection: u64) -> bool {
+    fn is_connected(&self, gateway: usize, connection: u64) -> bool {
         let gateway = &self.gateways[gateway];
-        gateway.connection == connection && self.now >= gateway.cut_until
+        gateway.connection == connection && self.now >= gateway.disconnected_until
     }
 
     // ---- Callers ----
@@ -278,62 +282,62 @@
         let at = self.now + Millis(pause.max(1.0) as u64);
         self.schedule(at, Event::Request);
         let gateway = self.random.random_range(0..self.plan.gateways);
-        if self.gateways[gateway].still_until > self.now {
+        if self.gateways[gateway].suspended_until > self.now {
             return;
         }
-        let rank = self.random.random_range(0..3);
-        if self.send(gateway, rank) {
+        let priority = self.random.random_range(0..3);
+        if self.send(gateway, priority) {
             return;
         }
         let now = self.now;
         match self.gateways[gateway]
             .limits
-            .ask([&self.id].into_iter(), rank, now)
+            .request_permit([&self.id].into_iter(), priority, now)
         {
-            Asking::Ask(ask) => {
-                self.send_words(gateway);
+            PermitLookup::Request(ask) => {
+                self.send_reports(gateway);
                 let Gateway {
                     waiting,
                     connection,
-                    life,
+                    incarnation,
                     ..
                 } = &mut self.gateways[gateway];
-                let (connection, life) = (*connection, *life);
-                waiting.insert(ask.number, (now, rank));
-                let timed_out = Event::TimedOut(gateway, life, ask.number);
-                self.schedule(now + PATIENCE, timed_out);
-                if now >= self.gateways[gateway].cut_until {
-                    self.after(LONGEST_WAY_MS, Event::Ask(gateway, connection, ask));
+                let (connection, incarnation) = (*connection, *incarnation);
+                waiting.insert(ask.number, (now, priority));
+                let timed_out = Event::TimedOut(gateway, incarnation, ask.number);
+                self.schedule(now + PERMIT_TIMEOUT, timed_out);
+                if now >= self.gateways[gateway].disconnected_until {
+                    self.schedule_within(MAX_LEADER_DELAY_MS, Event::Ask(gateway, connection, ask));
                 }
             }
-            Asking::Closed(_) => self.outcome.refused += 1,
-            Asking::Unlimited => panic!("it may be sent"),
+            PermitLookup::Unavailable(_) => self.outcome.refused += 1,
+            PermitLookup::Unlimited => panic!("no permit is needed"),
         }
     }
 
-    fn send(&mut self, gateway: usize, rank: u8) -> bool {
+    fn send(&mut self, gateway: usize, priority: u8) -> bool {
         let now = self.now;
         let known = &mut self.gateways[gateway];
         if !known.limits.may_send(&self.id, now) {
             return false;
         }
         known.limits.sent(&self.id, now);
-        let life = known.life;
-        let is_slow = self.random.random_range(0..SLOW_TRANSITS) == 0;
-        let longest = if is_slow {
-            LONGEST_TRANSIT_MS
+        let incarnation = known.incarnation;
+        let is_slow = self.random.random_range(0..REQUESTS_PER_SLOW_TRANSIT) == 0;
+        let max_ms = if is_slow {
+            MAX_SLOW_TRANSIT_MS
         } else {
-            USUAL_TRANSIT_MS
+            MAX_USUAL_TRANSIT_MS
         };
-        self.after(longest, Event::Arrives(gateway, life, now, rank));
+        self.schedule_within(max_ms, Event::Arrives(gateway, incarnation, now, priority));
         true
     }
 
     fn end_waiting(&mut self, gateway: usize, number: u64) {
-        let Some((since, rank)) = self.gateways[gateway].waiting.remove(&number) else {
+        let Some((since, priority)) = self.gateways[gateway].waiting.remove(&number) else {
             return;
         };
-        if !self.send(gateway, rank) {
+        if !self.send(gateway, priority) {
             self.outcome.refused += 1;
             let took = self.now.since(since);
             self.outcome.longest_refusal = self.outcome.longest_refusal.max(took);
@@ -342,56 +346,63 @@
 
     // ---- The back end ----
 
-    fn arrives(&mut self, gateway: usize, life: u64, sent: Millis, rank: u8) {
+    fn arrives(&mut self, gateway: usize, incarnation: u64, sent: Millis, priority: u8) {
         let from = &self.gateways[gateway];
-        let was_told = from.told_at.is_some_and(|at| self.now >= at + TOLD_AFTER);
+        let was_informed = from
+            .limit_received_at
+            .is_some_and(|at| self.now >= at + INFORMED_AFTER);
         self.arrivals
-            .push((self.now, was_told && from.life == life));
-        let names = self.names_limit();
-        if names && self.now >= NAMED_FROM + CONTACT {
-            self.outcome.served_by_rank[usize::from(rank)] += 1;
+            .push((self.now, was_informed && from.incarnation == incarnation));
+        let has_limit = self.reports_limit();
+        if has_limit && self.now >= LIMIT_START + SETTLING_TIME {
+            self.outcome.served_by_priority[usize::from(priority)] += 1;
         }
-        let answer = Event::Answer(gateway, life, sent, names);
-        self.schedule(self.now + WORK, answer);
+        let answer = Event::Answer(gateway, incarnation, sent, has_limit);
+        self.schedule(self.now + SERVICE_TIME, answer);
     }
 
-    fn answer(&mut self, gateway: usize, life: u64, sent: Millis, names: bool) {
+    fn answer(&mut self, gateway: usize, incarnation: u64, sent: Millis, has_limit: bool) {
         let now = self.now;
-        let heard = &mut self.gateways[gateway];
-        if heard.life != life {
+        let receiver = &mut self.gateways[gateway];
+        if receiver.incarnation != incarnation {
             return;
         }
-        if names {
-            heard.limits.named(&self.id, 1, self.plan.limit, now);
-            heard.told_at.get_or_insert(now);
+        if has_limit {
+            receiver
+                .limits
+                .limit_reported(&self.id, 1, self.plan.limit, now);
+            receiver.limit_received_at.get_or_insert(now);
         } else {
-            heard.limits.named_none(&self.id, 1, sent);
+            receiver.limits.no_limit_reported(&self.id, 1, sent);
         }
     }
 
     // ---- The leader ----
 
-    fn send_words(&mut self, gateway: usize) {
+    fn send_reports(&mut self, gateway: usize) {
         let now = self.now;
         let from = &mut self.gateways[gateway];
         let reports = from.limits.reports(now);
-        if now < from.cut_until {
+        if now < from.disconnected_until {
             return;
         }
-        // Those that are lost, and later ones that are not.
-        let is_lost = now < from.loses_until && self.random.random_bool(0.5);
+        // Half of the messages are lost, later ones arrive.
+        let is_lost = now < from.losing_messages_until && self.random.random_bool(0.5);
         let reports = reports.filter(|_| !is_lost);
         let connection = from.connection;
-        self.after(LONGEST_WAY_MS, Event::Reports(gateway, connection, reports));
+        self.schedule_within(
+            MAX_LEADER_DELAY_MS,
+            Event::Reports(gateway, connection, reports),
+        );
     }
 
-    fn watch(&mut self, gateway: usize, life: u64) {
-        if self.gateways[gateway].life != life {
+    fn watch(&mut self, gateway: usize, incarnation: u64) {
+        if self.gateways[gateway].incarnation != incarnation {
             return;
         }
-        self.send_words(gateway);
-        let at = self.now + self.interval();
-        self.schedule(at, Event::Watch(gateway, life));
+        self.send_reports(gateway);
+        let at = self.now + self.watch_interval();
+        self.schedule(at, Event::Watch(gateway, incarnation));
     }
 
     fn reports(&mut self, gateway: usize, connection: u64, reports: Option<LimitReports>) {
@@ -402,32 +413,32 @@
         if self.gateways[gateway].connection != connection {
             return;
         }
-        let before = leader.told.get(&(gateway, connection)).copied();
-        let mut noted = before.map_or(0, |(_, noted)| noted);
+        let before = leader.sent_lists.get(&(gateway, connection)).copied();
+        let mut applied = before.map_or(0, |(_, applied)| applied);
         if let Some(message) = reports {
             for report in &message.reports {
-                leader.ledger.note(report, now);
+                leader.ledger.apply_report(report, now);
             }
-            noted = noted.max(message.number);
+            applied = applied.max(message.number);
         }
-        let told = (leader.ledger.number(), noted);
-        if before != Some(told) {
-            leader.told.insert((gateway, connection), told);
-            let list = ToldList {
+        let sent = (leader.ledger.list_number(), applied);
+        if before != Some(sent) {
+            leader.sent_lists.insert((gateway, connection), sent);
+            let list = SentList {
                 term: leader.term,
-                number: leader.ledger.number(),
-                reports_taken: noted,
+                number: leader.ledger.list_number(),
+                reports_taken: applied,
                 limits: leader.ledger.list(),
             };
-            self.after(LONGEST_WAY_MS, Event::List(gateway, connection, list));
+            self.schedule_within(MAX_LEADER_DELAY_MS, Event::List(gateway, connection, list));
         }
     }
 
-    fn ask(&mut self, gateway: usize, connection: u64, ask: &PermitAsk) {
+    fn ask(&mut self, gateway: usize, connection: u64, ask: &PermitRequest) {
         if let Some(leader) = &mut self.leader {
-            let answer = leader.ledger.ask(ask, self.now);
+            let answer = leader.ledger.request_permit(ask, self.now);
             let answer = Event::Permit(gateway, connection, answer);
-            self.after(LONGEST_WAY_MS, answer);
+            self.schedule_within(MAX_LEADER_DELAY_MS, answer);
         }
     }
 
@@ -442,9 +453,9 @@
         self.leader = Some(Leader {
             term: self.term,
             ledger: LimitLedger::default(),
-            told: BTreeMap::new(),
+            sent_lists: BTreeMap::new(),
         });
-        // Some go on with the connection that they have: it was the leader's before.
+        // About half of the gateways keep their connection to the replica that now leads.
         for gateway in &mut self.gateways {
             if self.random.random_bool(0.5) {
                 gateway.connection += 1;
@@ -453,28 +464,30 @@
         }
     }
 
-    fn strike(&mut self, fault: Fault) {
-        let lasts = Millis(self.random.random_range(50..LONGEST_FAULT_MS));
-        let until = self.now + lasts;
+    fn inject(&mut self, fault: Fault) {
+        let duration = Millis(self.random.random_range(50..MAX_FAULT_MS));
+        let until = self.now + duration;
         let gateway = self.random.random_range(0..self.plan.gateways);
-        let struck = &mut self.gateways[gateway];
+        let target = &mut self.gateways[gateway];
         match fault {
             Fault::Restart => {
-                let life = struck.life + 1;
-                *struck = Gateway {
-                    life,
-                    connection: struck.connection + 1,
+                let incarnation = target.incarnation + 1;
+                *target = Gateway {
+                    incarnation,
+                    connection: target.connection + 1,
                     ..Gateway::default()
                 };
-                self.after(1_000, Event::Watch(gateway, life));
+                self.schedule_within(1_000, Event::Watch(gateway, incarnation));
+            }
+            Fault::Disconnection => {
+                target.disconnected_until = target.disconnected_until.max(until);
+                target.connection += 1;
+                target.limits.connected();
             }
-            Fault::Cut => {
-                struck.cut_until = struck.cut_until.max(until);
-                struck.connection += 1;
-                struck.limits.connected();
+            Fault::Suspension => target.suspended_until = target.suspended_until.max(until),
+            Fault::LostMessages => {
+                target.losing_messages_until = target.losing_messages_until.max(until)
             }
-            Fault::Suspension => struck.still_until = struck.still_until.max(until),
-            Fault::LostMessages => struck.loses_until = struck.loses_until.max(until),
             Fault::NoLeader => {
                 self.leader = None;
                 self.schedule(until, Event::NewLeader);
@@ -482,24 +495,28 @@
         }
     }
 
-    // ---- The verdict ----
+    // ---- Checks ----
 
-    fn judge(mut self) -> Outcome {
-        let judged_from = NAMED_FROM + CONTACT;
+    fn finish(mut self) -> Outcome {
+        let checked_from = LIMIT_START + SETTLING_TIME;
         let end = self.plan.ends_at.unwrap_or(Millis::NEVER);
-        let judged = |at: &Millis| *at >= judged_from && *at < end;
-        let told = self
+        let is_checked = |at: &Millis| *at >= checked_from && *at < end;
+        let informed = self
             .arrivals
             .iter()
-            .filter(|(at, told)| *told && judged(at));
-        let told: Vec<Millis> = told.map(|(at, _)| *at).collect();
-        let all = self.arrivals.iter().map(|(at, _)| *at).filter(judged);
+            .filter(|(at, informed)| *informed && is_checked(at));
+        let informed: Vec<Millis> = informed.map(|(at, _)| *at).collect();
+        let all = self.arrivals.iter().map(|(at, _)| *at).filter(is_checked);
         let all: Vec<Millis> = all.collect();
         let outcome = &mut self.outcome;
-        outcome.most_in_window = most_in_window(&told);
-        outcome.most_of_all = most_in_window(&all);
+        outcome.most_in_window = most_in_window(&informed);
+        outcome.most_in_window_of_all = most_in_window(&all);
         outcome.allowed = (self.plan.limit.per_s() * 6.0 + 5.0).ceil() as usize;
-        outcome.arrived = self.arrivals.iter().filter(|(at, _)| judged(at)).count();
+        outcome.arrived = self
+            .arrivals
+            .iter()
+            .filter(|(at, _)| is_checked(at))
+            .count();
         outcome.arrived_after_end = self.arrivals.iter().filter(|(at, _)| *at >= end).count();
         let limited = self.gateways.iter().filter(|g| !g.limits.is_empty());
         outcome.still_limited = limited.count();
--- a/components/wire/tests/upgrade/samples/frames.rs
+++ b/components/wire/tests/upgrade/samples/frames.rs
@@ -5,7 +5,7 @@
 use garnet_consensus::{Entry, EntryPayload, Envelope, Message};
 use garnet_control::*;
 use garnet_limits::{
-    LimitEntry, LimitReport, LimitReports, PermitAnswer, PermitAsk, PermitOutcome,
+    LimitEntry, LimitReport, LimitReports, PermitAnswer, PermitOutcome, PermitRequest,
 };
 use garnet_quarantine::{EndedRun, RunEnd, RunReport, Suspects};
 use garnet_types::*;
@@ -405,10 +405,10 @@
         number: 4,
         reports: vec![limit_report],
     };
-    let ask = PermitAsk {
+    let ask = PermitRequest {
         number: 6,
         backends: vec![engine()],
-        rank: 1,
+        priority: 1,
     };
     let granted = PermitOutcome::Granted {
         backend: engine(),
