--- a/components/control/src/replica/limiting.rs
+++ b/components/control/src/replica/limiting.rs
@@ -155,7 +155,9 @@
     /// Forgets back ends and gateways that are gone.
     pub(super) fn keep_limits(&mut self) {
         let backends = &self.state.configuration.backends;
-        self.limiting.ledger.retain(|id| backends.contains_key(id));
+        self.limiting
+            .ledger
+            .retain_known(|id| backends.contains_key(id));
         let known = &self.gateways;
         let states = &mut self.limiting.gateways;
         states.retain(|gateway, _| known.is_known(gateway));
--- a/components/forwarding-shell/src/permits.rs
+++ b/components/forwarding-shell/src/permits.rs
@@ -187,8 +187,8 @@
                 Waited::TooLong(retry_after) => Err(NotPlaced::Unavailable(retry_after)),
             };
         }
-        PermitLookup::Unavailable(retry_after) => retry_after,
-        PermitLookup::Request(ask) => match answer_to(gateway, running, ask).await {
+        PermitLookup::Exhausted(retry_after) => retry_after,
+        PermitLookup::AskLeader(ask) => match answer_to(gateway, running, ask).await {
             // The verdict on a request may fall while it waits, and its time may pass.
             Some(_) if !may_be_sent(gateway, running) => return Err(NotPlaced::Nobody),
             Some(PermitOutcome::Granted { .. }) => match place() {
--- a/components/forwarding/src/forwarder/limits.rs
+++ b/components/forwarding/src/forwarder/limits.rs
@@ -165,8 +165,8 @@
             .limits
             .request_permit([one].into_iter(), work.priority, now)
         {
-            PermitLookup::Request(ask) => Some(ask),
-            PermitLookup::Unavailable(_) | PermitLookup::Unlimited => None,
+            PermitLookup::AskLeader(ask) => Some(ask),
+            PermitLookup::Exhausted(_) | PermitLookup::Unlimited => None,
         }
     }
 
--- a/components/forwarding/tests/core/availability.rs
+++ b/components/forwarding/tests/core/availability.rs
@@ -238,7 +238,7 @@
     let rate = "5".parse().expect("a rate");
     gateway.note_limit(&id("till-a"), ReportedLimit::Limited(rate), NOW, NOW);
     let ask = |gateway: &mut Forwarder| gateway.ask_for_permit(&till(), &call(), &[], NOW);
-    assert!(matches!(ask(&mut gateway), PermitLookup::Request(_)));
+    assert!(matches!(ask(&mut gateway), PermitLookup::AskLeader(_)));
     gateway.note_backoff(&id("till-a"), BACKOFF, NOW);
     assert_eq!(ask(&mut gateway), PermitLookup::Unlimited);
     assert!(gateway.all_in_backoff(&till(), &call(), NOW).is_some());
--- a/components/forwarding/tests/core/limits.rs
+++ b/components/forwarding/tests/core/limits.rs
@@ -41,7 +41,7 @@
 /// The names that the leader is asked for.
 fn asked(gateway: &mut Forwarder, service: &str, work: &Work) -> (u64, Vec<BackendId>) {
     match gateway.ask_for_permit(&ServiceId::new(service), work, &[], NOW) {
-        PermitLookup::Request(ask) => (ask.number, ask.backends),
+        PermitLookup::AskLeader(ask) => (ask.number, ask.backends),
         other => panic!("{other:?}"),
     }
 }
@@ -139,15 +139,15 @@
         let work = Work { priority, ..call() };
         gateway.ask_for_permit(&till, &work, &[], now)
     };
-    assert_eq!(ask(1, NOW), PermitLookup::Unavailable(Millis(900)));
+    assert_eq!(ask(1, NOW), PermitLookup::Exhausted(Millis(900)));
     assert_eq!(
         ask(2, NOW + Millis(100)),
-        PermitLookup::Unavailable(Millis(800))
+        PermitLookup::Exhausted(Millis(800))
     );
-    assert!(matches!(ask(0, NOW), PermitLookup::Request(_)));
+    assert!(matches!(ask(0, NOW), PermitLookup::AskLeader(_)));
     assert!(matches!(
         ask(1, NOW + Millis(300)),
-        PermitLookup::Request(_)
+        PermitLookup::AskLeader(_)
     ));
 }
 
--- a/components/gateway/src/gateway/limits.rs
+++ b/components/gateway/src/gateway/limits.rs
@@ -74,7 +74,7 @@
     /// The configuration has changed.
     pub(super) fn follow_limits(&mut self) {
         let backends = &self.watched.configuration.backends;
-        self.limits.retain(|id| backends.contains_key(id));
+        self.limits.retain_known(|id| backends.contains_key(id));
     }
 
     // ---- Permits ----
@@ -125,10 +125,10 @@
             .request_permit(candidates.iter(), rank, self.now)
         {
             PermitLookup::Unlimited => return false,
-            PermitLookup::Unavailable(retry_after) => self.refuse_limited(id, retry_after),
+            PermitLookup::Exhausted(retry_after) => self.refuse_limited(id, retry_after),
             // Another request has used the permit.
-            PermitLookup::Request(_) if was_asked => self.refuse_limited(id, SHORTEST_RETRY),
-            PermitLookup::Request(ask) => {
+            PermitLookup::AskLeader(_) if was_asked => self.refuse_limited(id, SHORTEST_RETRY),
+            PermitLookup::AskLeader(ask) => {
                 let until = self.now + PERMIT_PATIENCE;
                 let number = ask.number;
                 self.ask_leader(ask);
@@ -209,7 +209,7 @@
             .collect();
         let drawn = self.arrived as usize % limited.len().max(1);
         let one = limited.get(drawn);
-        if let PermitLookup::Request(ask) =
+        if let PermitLookup::AskLeader(ask) =
             self.limits.request_permit(one.into_iter(), rank, self.now)
         {
             self.ask_leader(ask);
--- a/components/limits/src/gateway_limits.rs
+++ b/components/limits/src/gateway_limits.rs
@@ -97,9 +97,9 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PermitLookup {
     /// Send this request to the leader.
-    Request(PermitRequest),
+    AskLeader(PermitRequest),
     /// The leader has no permit at present; the caller may retry after this time.
-    Unavailable(Millis),
+    Exhausted(Millis),
     /// No permit is needed: none of the back ends has a limit.
     Unlimited,
 }
@@ -231,7 +231,7 @@
     }
 
     /// Removes all back ends for which `is_known` is false.
-    pub fn retain(&mut self, is_known: impl Fn(&BackendId) -> bool) {
+    pub fn retain_known(&mut self, is_known: impl Fn(&BackendId) -> bool) {
         self.known.retain(|id, _| is_known(id));
         self.pending_reports
             .retain(|report| is_known(&report.backend));
@@ -350,10 +350,10 @@
             }
         }
         if !candidates.is_empty() {
-            return PermitLookup::Request(self.new_request(candidates, priority, now));
+            return PermitLookup::AskLeader(self.new_request(candidates, priority, now));
         }
         match retry_at {
-            Some(at) => PermitLookup::Unavailable(at.since(now)),
+            Some(at) => PermitLookup::Exhausted(at.since(now)),
             None => PermitLookup::Unlimited,
         }
     }
@@ -387,9 +387,8 @@
     /// earlier than the leader's decision.
     pub fn answered(&mut self, answer: &PermitAnswer, now: Millis) {
         let mut pending = self.permit_requests.iter();
-        let position = pending.position(|request| request.number == answer.number);
-        let Some(request) = position.and_then(|position| self.permit_requests.remove(position))
-        else {
+        let index = pending.position(|request| request.number == answer.number);
+        let Some(request) = index.and_then(|index| self.permit_requests.remove(index)) else {
             return;
         };
         match &answer.outcome {
--- a/components/limits/src/ledger.rs
+++ b/components/limits/src/ledger.rs
@@ -161,7 +161,7 @@
     }
 
     /// Removes all back ends for which `is_known` is false.
-    pub fn retain(&mut self, is_known: impl Fn(&BackendId) -> bool) {
+    pub fn retain_known(&mut self, is_known: impl Fn(&BackendId) -> bool) {
         let before = self.limits.len();
         self.limits.retain(|id, _| is_known(id));
         if self.limits.len() != before {
--- a/components/limits/src/rate.rs
+++ b/components/limits/src/rate.rs
@@ -84,7 +84,9 @@
 
     fn from_str(text: &str) -> Result<Self, RateError> {
         let decimal = Decimal::parse(text, FRACTION_DIGITS).ok_or(RateError::NotDecimal)?;
-        let max = MAX_PER_S * MICROS_PER_REQUEST;
-        Ok(RequestRate::from_micros_per_s(decimal.parts.min(max)))
+        let max_micros = MAX_PER_S * MICROS_PER_REQUEST;
+        Ok(RequestRate::from_micros_per_s(
+            decimal.parts.min(max_micros),
+        ))
     }
 }
--- a/components/limits/tests/world/mod.rs
+++ b/components/limits/tests/world/mod.rs
@@ -200,8 +200,8 @@
         self.queue.push(Reverse((at, number)));
     }
 
-    fn schedule_within(&mut self, max_ms: u64, event: Event) {
-        let at = self.now + Millis(self.random.random_range(1..max_ms + 1));
+    fn schedule_within(&mut self, max_delay_ms: u64, event: Event) {
+        let at = self.now + Millis(self.random.random_range(1..max_delay_ms + 1));
         self.schedule(at, event);
     }
 
@@ -237,13 +237,13 @@
                 self.reports(gateway, connection, reports)
             }
             Event::Ask(gateway, connection, ask) => self.ask(gateway, connection, &ask),
-            Event::List(gateway, connection, list) => {
+            Event::List(gateway, connection, sent_list) => {
                 if self.is_connected(gateway, connection) {
                     let list = LimitList {
-                        term: list.term,
-                        number: list.number,
-                        reports_taken: list.reports_taken,
-                        limits: &list.limits,
+                        term: sent_list.term,
+                        number: sent_list.number,
+                        reports_taken: sent_list.reports_taken,
+                        limits: &sent_list.limits,
                     };
                     self.gateways[gateway].limits.apply_list(list, self.now);
                 }
@@ -294,7 +294,7 @@
             .limits
             .request_permit([&self.id].into_iter(), priority, now)
         {
-            PermitLookup::Request(ask) => {
+            PermitLookup::AskLeader(ask) => {
                 self.send_reports(gateway);
                 let Gateway {
                     waiting,
@@ -310,7 +310,7 @@
                     self.schedule_within(MAX_LEADER_DELAY_MS, Event::Ask(gateway, connection, ask));
                 }
             }
-            PermitLookup::Unavailable(_) => self.outcome.refused += 1,
+            PermitLookup::Exhausted(_) => self.outcome.refused += 1,
             PermitLookup::Unlimited => panic!("no permit is needed"),
         }
     }
@@ -421,9 +421,9 @@
             }
             applied = applied.max(message.number);
         }
-        let sent = (leader.ledger.list_number(), applied);
-        if before != Some(sent) {
-            leader.sent_lists.insert((gateway, connection), sent);
+        let latest = (leader.ledger.list_number(), applied);
+        if before != Some(latest) {
+            leader.sent_lists.insert((gateway, connection), latest);
             let list = SentList {
                 term: leader.term,
                 number: leader.ledger.list_number(),
