--- a/components/control/src/effects.rs
+++ b/components/control/src/effects.rs
@@ -2,7 +2,7 @@
 
 use garnet_consensus::Envelope;
 use garnet_planner::PhaseOccupancy;
-use garnet_quarantine::Verdict;
+use garnet_quarantine::RefusedRequest;
 use garnet_types::{
     BackendId, EncodingVersion, EngineAssignment, EngineOrder, EngineStatus, MachineState,
     OrderAnswer, ReplicaId,
@@ -173,7 +173,7 @@
     /// The replica applies no more of its log, until another build runs there.
     Halted(Halted),
     /// The leader refuses a request from now on.
-    Quarantined(Verdict),
+    Quarantined(RefusedRequest),
     /// The replica began to lead in this term.
     BecameLeader {
         /// The term.
--- a/components/control/src/replica/quarantining.rs
+++ b/components/control/src/replica/quarantining.rs
@@ -91,7 +91,7 @@
 impl Replica {
     /// Takes what a gateway saw of runs that ended with their engine.
     pub(super) fn take_runs(&mut self, report: &RunReport) -> ControlReply {
-        self.quarantining.tracker.note(report, self.now);
+        self.quarantining.tracker.apply_report(report, self.now);
         ControlReply::RunsNoted {
             through: report.through,
         }
@@ -116,7 +116,7 @@
         }
         self.take_over();
         self.follow_log();
-        for verdict in self.quarantining.tracker.settle(self.now) {
+        for verdict in self.quarantining.tracker.decide(self.now) {
             self.quarantining.proposed.insert(verdict.fingerprint);
             self.effects.push(Effect::Quarantined(verdict));
             self.propose_own(Command::QuarantineRequest {
@@ -139,7 +139,7 @@
                 fingerprint: *fingerprint,
                 engines: record.engines.clone(),
             };
-            self.quarantining.tracker.take_over(suspected, self.now);
+            self.quarantining.tracker.restore(suspected, self.now);
         }
     }
 
--- a/components/forwarding-shell/src/going_on.rs
+++ b/components/forwarding-shell/src/going_on.rs
@@ -1,7 +1,7 @@
 //! Whether a request may go on at another back end.
 
 use garnet_forwarding::{AttemptEnd, GivenUp, NextMove, Progress, next_move};
-use garnet_quarantine::Standing;
+use garnet_quarantine::QuarantineStatus;
 use garnet_types::{BackendId, Millis};
 
 use crate::gateway::Gateway;
@@ -24,7 +24,8 @@
     }
     // A suspected request whose run broke off has probably ended one more
     // engine: its caller may come again, at whoever knows by then.
-    if end == AttemptEnd::Broken && standing(gateway, &running.call) == Standing::Suspected {
+    if end == AttemptEnd::Broken && standing(gateway, &running.call) == QuarantineStatus::Suspected
+    {
         return Err(given_up);
     }
     match next_move(&running.work, &running.progress, end) {
@@ -64,7 +65,9 @@
     count: impl FnOnce(&mut Progress),
 ) -> bool {
     // One more engine may end under a suspected request.
-    if !may_be_sent(gateway, running) || standing(gateway, &running.call) == Standing::Suspected {
+    if !may_be_sent(gateway, running)
+        || standing(gateway, &running.call) == QuarantineStatus::Suspected
+    {
         return false;
     }
     let before = running.progress;
@@ -81,10 +84,10 @@
 pub(crate) fn standing<C: CallerPort, B: BackendPort>(
     gateway: &Gateway<C, B>,
     call: &Call,
-) -> Standing {
+) -> QuarantineStatus {
     let forwarder = gateway.forwarder.borrow();
     if forwarder.suspects_nobody() {
-        return Standing::Clear;
+        return QuarantineStatus::Clear;
     }
     forwarder.standing(call.fingerprint())
 }
@@ -94,7 +97,7 @@
     gateway: &Gateway<C, B>,
     call: &Call,
 ) -> bool {
-    standing(gateway, call) == Standing::Refused
+    standing(gateway, call) == QuarantineStatus::Refused
 }
 
 /// Places a request that is suspected apart from others like it, and any other
@@ -105,7 +108,7 @@
     place: impl Fn(&[BackendId]) -> Option<T>,
 ) -> Option<T> {
     let Running { service, tried, .. } = running;
-    if standing(gateway, &running.call) != Standing::Suspected {
+    if standing(gateway, &running.call) != QuarantineStatus::Suspected {
         return place(tried);
     }
     let mut left_out = {
--- a/components/forwarding-shell/src/stream/placing.rs
+++ b/components/forwarding-shell/src/stream/placing.rs
@@ -1,7 +1,7 @@
 //! Which engine a stream is sent to next, and with what.
 
 use garnet_forwarding::{Admission, AttemptEnd, Placement};
-use garnet_quarantine::Standing;
+use garnet_quarantine::QuarantineStatus;
 use garnet_types::{BackendId, Millis};
 
 use crate::attempt::{OpenAnswer, attempt, failed_with, log_failure};
@@ -26,7 +26,7 @@
             // Any other gateway may take it now.
             return Err(Refused::Busy(Millis::ZERO));
         }
-        if standing(&self.gateway, &self.running.call) != Standing::Clear {
+        if standing(&self.gateway, &self.running.call) != QuarantineStatus::Clear {
             // Where it runs is said already, whoever has time.
             return Ok(self.place());
         }
--- a/components/forwarding/src/forwarder/configuration.rs
+++ b/components/forwarding/src/forwarder/configuration.rs
@@ -148,7 +148,7 @@
             self.share_connections();
         }
         let quarantined = self.configuration.quarantine.keys().copied();
-        self.crash_log.follow(quarantined);
+        self.crash_log.update_quarantined(quarantined);
     }
 
     /// Follows these back ends; all others are as they were.
--- a/components/forwarding/src/forwarder/quarantine.rs
+++ b/components/forwarding/src/forwarder/quarantine.rs
@@ -3,7 +3,7 @@
 
 use garnet_control::UNTOLD_START;
 use garnet_quarantine::{
-    EngineStart, RequestFingerprint, RunReport, Standing, Suspects, own_backend,
+    EngineStart, QuarantineStatus, RequestFingerprint, RunReport, Suspects, isolation_backend,
 };
 use garnet_types::{BackendId, EngineRole, Millis, ServiceId};
 
@@ -20,11 +20,11 @@
     }
 
     /// How a request stands.
-    pub fn standing(&self, fingerprint: RequestFingerprint) -> Standing {
+    pub fn standing(&self, fingerprint: RequestFingerprint) -> QuarantineStatus {
         if self.configuration.quarantine.contains_key(&fingerprint) {
-            return Standing::Refused;
+            return QuarantineStatus::Refused;
         }
-        self.crash_log.standing(fingerprint)
+        self.crash_log.status(fingerprint)
     }
 
     /// For how long a refused request will be refused.
@@ -59,12 +59,12 @@
 
     /// Another leader may have been found.
     pub fn tell_runs_anew(&mut self) {
-        self.crash_log.tell_anew();
+        self.crash_log.resend_all();
     }
 
     /// Takes the requests that the leader has in view.
     pub fn take_suspects(&mut self, suspects: Suspects) {
-        self.crash_log.take(suspects);
+        self.crash_log.update_suspects(suspects);
     }
 
     /// Back ends that a suspected request leaves to the others: all but its
@@ -83,7 +83,7 @@
             .map(|backend| &backend.registration.id)
             .filter(|id| !tried.contains(id))
             .collect();
-        let own = own_backend(fingerprint, open.iter().copied());
+        let own = isolation_backend(fingerprint, open.iter().copied());
         let others = open.iter().filter(|id| Some(**id) != own);
         others.map(|id| (*id).clone()).collect()
     }
--- a/components/forwarding/tests/core/quarantine.rs
+++ b/components/forwarding/tests/core/quarantine.rs
@@ -4,7 +4,7 @@
 
 use garnet_control::{ConfigurationChange, QuarantineRecord, WatchUpdate};
 use garnet_forwarding::Forwarder;
-use garnet_quarantine::{RequestFingerprint, RequestIdentity, Standing, Suspects};
+use garnet_quarantine::{QuarantineStatus, RequestFingerprint, RequestIdentity, Suspects};
 use garnet_types::{BackendId, EngineRole, Millis, ServiceId};
 
 use crate::fleet::{NOW, configuration, forwarder, record, table};
@@ -54,8 +54,11 @@
     assert!(forwarder.suspects_nobody());
     crash(&mut forwarder, "/bad", "d0");
     assert!(!forwarder.suspects_nobody());
-    assert_eq!(forwarder.standing(request("/bad")), Standing::Clear);
-    assert_eq!(forwarder.standing(request("/other")), Standing::Clear);
+    assert_eq!(forwarder.standing(request("/bad")), QuarantineStatus::Clear);
+    assert_eq!(
+        forwarder.standing(request("/other")),
+        QuarantineStatus::Clear
+    );
 }
 
 #[test]
@@ -69,13 +72,19 @@
         &ConfigurationChange::RequestQuarantined(request("/bad"), record),
     );
     forwarder.update(WatchUpdate::Snapshot(with.clone().into()));
-    assert_eq!(forwarder.standing(request("/bad")), Standing::Refused);
-    assert_eq!(forwarder.standing(request("/other")), Standing::Clear);
+    assert_eq!(
+        forwarder.standing(request("/bad")),
+        QuarantineStatus::Refused
+    );
+    assert_eq!(
+        forwarder.standing(request("/other")),
+        QuarantineStatus::Clear
+    );
     let left = forwarder.refused_for(request("/bad"), NOW);
     assert_eq!(left, Millis::from_secs(60));
     with.change(7, &ConfigurationChange::RequestReleased(request("/bad")));
     forwarder.update(WatchUpdate::Snapshot(with.into()));
-    assert_eq!(forwarder.standing(request("/bad")), Standing::Clear);
+    assert_eq!(forwarder.standing(request("/bad")), QuarantineStatus::Clear);
     assert!(forwarder.suspects_nobody());
 }
 
@@ -96,10 +105,13 @@
         &ConfigurationChange::RequestQuarantined(request("/bad"), record),
     );
     forwarder.update(WatchUpdate::Snapshot(with.clone().into()));
-    assert_eq!(forwarder.standing(request("/bad")), Standing::Refused);
+    assert_eq!(
+        forwarder.standing(request("/bad")),
+        QuarantineStatus::Refused
+    );
     with.change(7, &ConfigurationChange::RequestReleased(request("/bad")));
     forwarder.update(WatchUpdate::Snapshot(with.into()));
-    assert_eq!(forwarder.standing(request("/bad")), Standing::Clear);
+    assert_eq!(forwarder.standing(request("/bad")), QuarantineStatus::Clear);
     let left = forwarder.run_report(NOW).expect("the other one");
     assert_eq!(left.runs.len(), 1);
 }
@@ -139,8 +151,14 @@
         suspected: vec![request("/near")],
         refused: vec![request("/bad")],
     });
-    assert_eq!(forwarder.standing(request("/near")), Standing::Suspected);
-    assert_eq!(forwarder.standing(request("/bad")), Standing::Refused);
+    assert_eq!(
+        forwarder.standing(request("/near")),
+        QuarantineStatus::Suspected
+    );
+    assert_eq!(
+        forwarder.standing(request("/bad")),
+        QuarantineStatus::Refused
+    );
     forwarder.run_completed(request("/near"), NOW);
     let report = forwarder.run_report(NOW).expect("news");
     assert_eq!(report.runs.len(), 1);
--- a/components/gateway/src/gateway/quarantine.rs
+++ b/components/gateway/src/gateway/quarantine.rs
@@ -2,7 +2,9 @@
 //! of them it sends to no engine.
 
 use garnet_control::{BackendRecord, GatewayRequest};
-use garnet_quarantine::{EngineStart, RequestFingerprint, Standing, Suspects, own_backend};
+use garnet_quarantine::{
+    EngineStart, QuarantineStatus, RequestFingerprint, Suspects, isolation_backend,
+};
 use garnet_types::{BackendId, Millis, OutcomeCode, Refusal, RequestId};
 
 use crate::backends::Eligible;
@@ -29,7 +31,7 @@
     /// was told may be told to another one.
     pub(super) fn note_leader(&mut self, heard_after: Millis) {
         if heard_after >= LEADER_MAY_HAVE_CHANGED {
-            self.crash_log.tell_anew();
+            self.crash_log.resend_all();
             self.limits.connected();
         }
     }
@@ -41,12 +43,12 @@
     /// The configuration has changed.
     pub(super) fn follow_quarantine(&mut self) {
         let quarantined = self.watched.configuration.quarantine.keys().copied();
-        self.crash_log.follow(quarantined);
+        self.crash_log.update_quarantined(quarantined);
     }
 
     pub(super) fn take_suspects(&mut self, suspects: Option<Suspects>) {
         if let Some(suspects) = suspects {
-            self.crash_log.take(suspects);
+            self.crash_log.update_suspects(suspects);
         }
     }
 
@@ -90,16 +92,16 @@
         self.crash_log.is_empty() && self.watched.configuration.quarantine.is_empty()
     }
 
-    fn standing(&self, request: &Request) -> Standing {
+    fn standing(&self, request: &Request) -> QuarantineStatus {
         if self.suspects_nobody() {
-            return Standing::Clear;
+            return QuarantineStatus::Clear;
         }
         let fingerprint = request.fingerprint();
         let quarantine = &self.watched.configuration.quarantine;
         if quarantine.contains_key(&fingerprint) {
-            return Standing::Refused;
+            return QuarantineStatus::Refused;
         }
-        self.crash_log.standing(fingerprint)
+        self.crash_log.status(fingerprint)
     }
 
     /// Ends a request that no engine may run. Whether it did so.
@@ -107,7 +109,7 @@
         let Some(request) = self.requests.get(&id) else {
             return false;
         };
-        if self.standing(request) != Standing::Refused {
+        if self.standing(request) != QuarantineStatus::Refused {
             return false;
         }
         let message = "engines ended under this request";
@@ -121,7 +123,7 @@
     /// another one before: this attempt ends no more of them.
     pub(crate) fn has_ended_enough(&self, id: RequestId) -> bool {
         let request = self.requests.get(&id);
-        request.is_some_and(|request| self.standing(request) == Standing::Suspected)
+        request.is_some_and(|request| self.standing(request) == QuarantineStatus::Suspected)
     }
 
     fn refused_for(&self, fingerprint: RequestFingerprint) -> Millis {
@@ -137,11 +139,12 @@
         request: &Request,
         backends: Vec<Eligible<'a>>,
     ) -> Vec<Eligible<'a>> {
-        if self.standing(request) != Standing::Suspected {
+        if self.standing(request) != QuarantineStatus::Suspected {
             return backends;
         }
         let generate = backends.iter().filter(|one| one.role.generates());
-        let Some(own) = own_backend(request.fingerprint(), generate.map(|one| one.id)).cloned()
+        let Some(own) =
+            isolation_backend(request.fingerprint(), generate.map(|one| one.id)).cloned()
         else {
             return backends;
         };
--- a/components/quarantine/src/crash.rs
+++ b/components/quarantine/src/crash.rs
@@ -1,77 +1,76 @@
-//! What gateways and the leader tell each other of runs that ended with their
-//! engine.
+//! Messages between gateways and the leader about runs of requests during which the engine
+//! crashed.
 
 use garnet_types::{BackendId, Millis};
 use serde::{Deserialize, Serialize};
 
 use crate::fingerprint::RequestFingerprint;
 
-/// Crashes under one request after which it is refused. Two may be chance, of a
-/// request that stood beside another one's crash and came back with it; the
-/// users' rule asks for an end after the third.
-pub const CRASHES_BORNE: usize = 3;
+/// Number of engine crashes during runs of a request after which the request is refused. Two may
+/// be chance: the request ran twice beside one that crashes engines. The users' rule asks for an
+/// end after the third.
+pub const CRASH_THRESHOLD: usize = 3;
 
-/// One start of an engine. Where each start has a name of its own, the
-/// incarnation is always the same.
+/// One start of an engine. If each start has its own back-end name, the incarnation is always the
+/// same.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct EngineStart {
     /// The engine.
     pub backend: BackendId,
-    /// Which start of it.
+    /// Distinguishes the starts of the engine.
     pub incarnation: u64,
 }
 
-/// How a run ended that tells something of its request.
+/// How a run ended, for the ends that count for or against its request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RunEnd {
-    /// It broke off as a crash of this engine breaks it off.
+    /// The run broke off in the way in which a crash of this engine breaks it off.
     Crashed(EngineStart),
-    /// It ran to its proper end.
+    /// The run completed.
     Completed,
 }
 
-/// A run that a gateway saw end.
+/// The end of a run, as a gateway observed it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndedRun {
     /// The request.
     pub fingerprint: RequestFingerprint,
-    /// How it ended.
+    /// How the run ended.
     pub end: RunEnd,
-    /// Time since then.
+    /// Time since the end.
     pub ago: Millis,
 }
 
-/// What a gateway tells the leader.
+/// A gateway's report to the leader.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunReport {
-    /// The runs, the oldest first.
+    /// The ended runs, oldest first.
     pub runs: Vec<EndedRun>,
-    /// Number of the newest one, which the receipt names.
+    /// Number of the newest run, which the leader's acknowledgement repeats.
     pub through: u64,
 }
 
-/// A request that has come close to being refused, as the log keeps it: the
-/// gateways that saw the crashes and the leader may be lost together.
+/// A request that is one crash away from being refused, as the replicated log stores it: the
+/// leader and the gateways that observed the crashes may fail together.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SuspectedRequest {
     /// The request.
     pub fingerprint: RequestFingerprint,
-    /// Engines that ended under it; none where nothing speaks against it any
-    /// more.
+    /// Engines that crashed during its runs; empty if the request is no longer suspected.
     pub engines: Vec<EngineStart>,
 }
 
-/// Requests that the leader has in view, as all gateways are told.
+/// The suspected and refused requests, as the leader publishes them to all gateways.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Suspects {
-    /// One more crash, and they are refused.
+    /// Requests that are refused after one more crash.
     pub suspected: Vec<RequestFingerprint>,
-    /// They are refused from now on; the configuration does not say so yet.
+    /// Requests that are refused from now on, before the configuration lists them.
     pub refused: Vec<RequestFingerprint>,
 }
 
 impl Suspects {
-    /// Whether no request is in view.
+    /// Whether no request is suspected or refused.
     pub fn is_empty(&self) -> bool {
         self.suspected.is_empty() && self.refused.is_empty()
     }
--- a/components/quarantine/src/crash_log.rs
+++ b/components/quarantine/src/crash_log.rs
@@ -1,184 +1,195 @@
-//! What one gateway saw of runs that ended with their engine, and what the
-//! leader told it of others.
+//! One gateway's record of the runs during which an engine crashed, and the suspects that the
+//! leader published.
 //!
-//! Invariant: all that is remembered is told to a leader until it confirms it,
-//! and told anew to each leader that is found, since a new one knows nothing.
+//! Invariant: every recorded run is reported to the leader until the leader confirms it, and
+//! reported again to each new leader, which starts without any.
 
 use std::collections::{BTreeSet, VecDeque};
 
 use garnet_types::Millis;
 
-use crate::crash::{CRASHES_BORNE, EndedRun, EngineStart, RunEnd, RunReport, Suspects};
+use crate::crash::{CRASH_THRESHOLD, EndedRun, EngineStart, RunEnd, RunReport, Suspects};
 use crate::fingerprint::RequestFingerprint;
 
-/// Runs that are remembered at most, some 100 bytes each: an engine's batch at
-/// each of several engines that end together.
-const MOST_NOTES: usize = 512;
-/// Runs that one report carries at most, some 40 bytes each.
-const MOST_IN_REPORT: usize = 128;
-/// A request that comes less often than this causes less than one crash in it.
-pub(crate) const REMEMBERED_FOR: Millis = Millis::from_secs(900);
+/// Maximum number of recorded runs, some 100 bytes each: enough for the batches of several
+/// engines that crash together.
+const MAX_ENTRIES: usize = 512;
+/// Maximum number of runs in one report, some 40 bytes each.
+const MAX_RUNS_PER_REPORT: usize = 128;
+/// How long a crash counts. A request that arrives less often than this causes less than one
+/// crash in this time.
+pub(crate) const CRASH_LIFETIME: Millis = Millis::from_secs(900);
 
-/// How a request stands.
+/// Whether a request is suspected of crashing engines or refused for it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Standing {
-    /// Nothing speaks against it.
+pub enum QuarantineStatus {
+    /// The request is not suspected.
     Clear,
-    /// One more crash, and it is refused: it runs apart from others like it.
+    /// The request is refused after one more crash. It runs apart from other suspected ones.
     Suspected,
-    /// It is sent to no engine.
+    /// The request is sent to no engine.
     Refused,
 }
 
+/// One ended run.
 #[derive(Debug)]
-struct Note {
+struct Entry {
     number: u64,
-    at: Millis,
+    recorded_at: Millis,
     fingerprint: RequestFingerprint,
     end: RunEnd,
 }
 
-/// The memory of one gateway.
+/// The recorded runs and known suspects of one gateway.
 #[derive(Debug, Default)]
 pub struct CrashLog {
-    notes: VecDeque<Note>,
+    entries: VecDeque<Entry>,
     last_number: u64,
     confirmed: u64,
-    told: Suspects,
+    suspects: Suspects,
     /// Requests that the configuration refuses.
     quarantined: BTreeSet<RequestFingerprint>,
 }
 
 impl CrashLog {
-    /// Whether every request stands clear, so that none need be looked up.
+    /// Whether no request is suspected or refused, so that lookups can be skipped.
     pub fn is_empty(&self) -> bool {
-        self.notes.is_empty() && self.told.is_empty()
+        self.entries.is_empty() && self.suspects.is_empty()
     }
 
-    /// Notes a run that broke off as a crash of its engine breaks it off.
+    /// Records a run that broke off in the way in which an engine crash breaks it off.
     pub fn crashed(&mut self, fingerprint: RequestFingerprint, engine: EngineStart, now: Millis) {
-        self.push(fingerprint, RunEnd::Crashed(engine), now);
+        self.record(fingerprint, RunEnd::Crashed(engine), now);
     }
 
-    /// Notes a run that came to its proper end. What was held against its
-    /// request is void.
+    /// Records a run that completed, which clears its request.
     pub fn completed(&mut self, fingerprint: RequestFingerprint, now: Millis) {
-        if self.standing(fingerprint) == Standing::Clear && !self.has_crashed(fingerprint) {
+        if self.status(fingerprint) == QuarantineStatus::Clear && !self.has_entries(fingerprint) {
             return;
         }
-        self.notes.retain(|note| note.fingerprint != fingerprint);
-        self.push(fingerprint, RunEnd::Completed, now);
+        self.entries
+            .retain(|entry| entry.fingerprint != fingerprint);
+        self.record(fingerprint, RunEnd::Completed, now);
     }
 
-    fn push(&mut self, fingerprint: RequestFingerprint, end: RunEnd, now: Millis) {
+    fn record(&mut self, fingerprint: RequestFingerprint, end: RunEnd, now: Millis) {
         self.last_number += 1;
-        self.notes.push_back(Note {
+        self.entries.push_back(Entry {
             number: self.last_number,
-            at: now,
+            recorded_at: now,
             fingerprint,
             end,
         });
-        if self.notes.len() > MOST_NOTES {
-            self.notes.pop_front();
+        if self.entries.len() > MAX_ENTRIES {
+            self.entries.pop_front();
         }
     }
 
-    /// How a request stands, by what was seen here and what the leader told.
-    pub fn standing(&self, fingerprint: RequestFingerprint) -> Standing {
-        let seen = self.engines_of(fingerprint);
-        if self.told.refused.contains(&fingerprint) || self.is_surely_cause(fingerprint, &seen) {
-            Standing::Refused
-        } else if seen.len() + 1 >= CRASHES_BORNE || self.told.suspected.contains(&fingerprint) {
-            Standing::Suspected
+    /// The status of a request, from the runs recorded here and the leader's suspects.
+    pub fn status(&self, fingerprint: RequestFingerprint) -> QuarantineStatus {
+        let engines = self.engines_of(fingerprint);
+        if self.suspects.refused.contains(&fingerprint)
+            || self.is_certain_cause(fingerprint, &engines)
+        {
+            QuarantineStatus::Refused
+        } else if engines.len() + 1 >= CRASH_THRESHOLD
+            || self.suspects.suspected.contains(&fingerprint)
+        {
+            QuarantineStatus::Suspected
         } else {
-            Standing::Clear
+            QuarantineStatus::Clear
         }
     }
 
-    /// Whether what was seen here is enough without the leader: nobody else was
-    /// at all of these crashes, or there was one more.
-    fn is_surely_cause(
+    /// Whether the runs recorded here suffice to refuse a request without the leader: no other
+    /// request ran at all of these crashes, or there was one crash more than the threshold.
+    fn is_certain_cause(
         &self,
         fingerprint: RequestFingerprint,
-        seen: &BTreeSet<&EngineStart>,
+        engines: &BTreeSet<&EngineStart>,
     ) -> bool {
-        if seen.len() < CRASHES_BORNE {
+        if engines.len() < CRASH_THRESHOLD {
             return false;
         }
-        let others: BTreeSet<RequestFingerprint> = self
-            .notes
+        let other_requests: BTreeSet<RequestFingerprint> = self
+            .entries
             .iter()
-            .map(|note| note.fingerprint)
+            .map(|entry| entry.fingerprint)
             .filter(|other| *other != fingerprint)
             .collect();
-        let was_there = |other: &RequestFingerprint| self.engines_of(*other).is_superset(seen);
-        seen.len() > CRASHES_BORNE || !others.iter().any(was_there)
+        let crashed_at_all =
+            |other: &RequestFingerprint| self.engines_of(*other).is_superset(engines);
+        engines.len() > CRASH_THRESHOLD || !other_requests.iter().any(crashed_at_all)
     }
 
-    /// Different starts of engines that ended under a request, as seen here.
+    /// Engine starts that crashed during runs of a request, as recorded here.
     fn engines_of(&self, fingerprint: RequestFingerprint) -> BTreeSet<&EngineStart> {
-        let notes = self.notes.iter();
-        notes
-            .filter(|note| note.fingerprint == fingerprint)
-            .filter_map(|note| match &note.end {
+        let entries = self.entries.iter();
+        entries
+            .filter(|entry| entry.fingerprint == fingerprint)
+            .filter_map(|entry| match &entry.end {
                 RunEnd::Crashed(engine) => Some(engine),
                 RunEnd::Completed => None,
             })
             .collect()
     }
 
-    fn has_crashed(&self, fingerprint: RequestFingerprint) -> bool {
-        self.notes
+    fn has_entries(&self, fingerprint: RequestFingerprint) -> bool {
+        self.entries
             .iter()
-            .any(|note| note.fingerprint == fingerprint)
+            .any(|entry| entry.fingerprint == fingerprint)
     }
 
-    /// What the leader has not confirmed yet, the oldest first.
+    /// The runs that the leader has not confirmed, oldest first.
     pub fn report(&mut self, now: Millis) -> Option<RunReport> {
         self.forget_old(now);
-        let unconfirmed = self.notes.iter().filter(|n| n.number > self.confirmed);
-        let told: Vec<&Note> = unconfirmed.take(MOST_IN_REPORT).collect();
-        let through = told.last()?.number;
-        let run = |note: &&Note| EndedRun {
-            fingerprint: note.fingerprint,
-            end: note.end.clone(),
-            ago: now.since(note.at),
+        let unconfirmed = self
+            .entries
+            .iter()
+            .filter(|entry| entry.number > self.confirmed);
+        let batch: Vec<&Entry> = unconfirmed.take(MAX_RUNS_PER_REPORT).collect();
+        let through = batch.last()?.number;
+        let run = |entry: &&Entry| EndedRun {
+            fingerprint: entry.fingerprint,
+            end: entry.end.clone(),
+            ago: now.since(entry.recorded_at),
         };
         Some(RunReport {
-            runs: told.iter().map(run).collect(),
+            runs: batch.iter().map(run).collect(),
             through,
         })
     }
 
-    /// The leader knows all up to this number.
+    /// Records that the leader has all runs up to number `through`.
     pub fn confirmed(&mut self, through: u64) {
         self.confirmed = self.confirmed.max(through);
     }
 
-    /// Another leader may have been found: it knows nothing.
-    pub fn tell_anew(&mut self) {
+    /// Marks all runs as unconfirmed: the leader may be a new one, which has none of them.
+    pub fn resend_all(&mut self) {
         self.confirmed = 0;
     }
 
-    /// Takes what the configuration refuses now. What was seen of a request that
-    /// it refuses no longer is void, or an operator could release none.
-    pub fn follow(&mut self, quarantined: impl Iterator<Item = RequestFingerprint>) {
-        let now: BTreeSet<RequestFingerprint> = quarantined.collect();
-        let before = std::mem::replace(&mut self.quarantined, now);
-        for released in before.difference(&self.quarantined) {
-            self.notes.retain(|note| note.fingerprint != *released);
+    /// Sets the requests that the configuration refuses. The recorded runs of a request that it no
+    /// longer refuses are dropped; otherwise the request would be refused again as soon as an
+    /// operator released it.
+    pub fn update_quarantined(&mut self, quarantined: impl Iterator<Item = RequestFingerprint>) {
+        let current: BTreeSet<RequestFingerprint> = quarantined.collect();
+        let previous = std::mem::replace(&mut self.quarantined, current);
+        for released in previous.difference(&self.quarantined) {
+            self.entries.retain(|entry| entry.fingerprint != *released);
         }
     }
 
-    /// Takes what the leader has in view.
-    pub fn take(&mut self, suspects: Suspects) {
-        self.told = suspects;
+    /// Sets the suspects that the leader published.
+    pub fn update_suspects(&mut self, suspects: Suspects) {
+        self.suspects = suspects;
     }
 
     fn forget_old(&mut self, now: Millis) {
-        let is_old = |note: &Note| now.since(note.at) > REMEMBERED_FOR;
-        while self.notes.front().is_some_and(is_old) {
-            self.notes.pop_front();
+        let is_old = |entry: &Entry| now.since(entry.recorded_at) > CRASH_LIFETIME;
+        while self.entries.front().is_some_and(is_old) {
+            self.entries.pop_front();
         }
     }
 }
--- a/components/quarantine/src/fingerprint.rs
+++ b/components/quarantine/src/fingerprint.rs
@@ -1,4 +1,4 @@
-//! What makes two requests of callers the same request.
+//! Fingerprints, which identify repeated attempts of the same request.
 
 use std::fmt;
 use std::str::FromStr;
@@ -10,12 +10,12 @@
 use sha2::{Digest, Sha256};
 use thiserror::Error;
 
-/// Bytes of a fingerprint: callers who choose their requests freely can't find
-/// two of the same one.
+/// Size of a fingerprint: large enough that callers cannot construct two requests with the same
+/// one.
 const FINGERPRINT_BYTES: usize = 16;
 
-/// Stands for a request, whichever attempt of its caller brings it. In text it
-/// is 32 hexadecimal digits.
+/// Identifies a request across all attempts of its caller. The text form is 32 hexadecimal
+/// digits.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestFingerprint([u8; FINGERPRINT_BYTES]);
 
@@ -45,8 +45,8 @@
             return Err(FingerprintError);
         }
         let mut bytes = [0; FINGERPRINT_BYTES];
-        for (place, byte) in bytes.iter_mut().enumerate() {
-            let pair = &text[2 * place..2 * place + 2];
+        for (index, byte) in bytes.iter_mut().enumerate() {
+            let pair = &text[2 * index..2 * index + 2];
             *byte = u8::from_str_radix(pair, 16).map_err(|_| FingerprintError)?;
         }
         Ok(RequestFingerprint(bytes))
@@ -74,30 +74,29 @@
     }
 }
 
-/// The parts of a request that decide what a back end does with it.
+/// The parts of a request that determine how a back end processes it.
 ///
-/// What differs from one attempt to the next is none of them: the caller's name
-/// for the attempt, its deadline, its key where the same caller has several,
-/// the spelling of headers, the pieces in which a body comes, the event after
-/// which a stream goes on.
+/// What may differ between attempts is left out: the caller's name for the attempt, its
+/// deadline, which of several keys the caller uses, the spelling of headers, the chunks of the
+/// body, and the event after which a stream resumes.
 #[derive(Debug, Clone, Copy)]
 pub struct RequestIdentity<'a> {
-    /// Whose it is; `None` where callers are not told apart.
+    /// Tenant of the request; `None` if callers are not distinguished.
     pub tenant: Option<&'a TenantId>,
-    /// Method.
+    /// HTTP method.
     pub method: &'a str,
-    /// Host that it is meant for, in any case.
+    /// Requested host; its case does not matter.
     pub host: &'a str,
     /// Path without its query.
     pub path: &'a str,
-    /// Query. It counts where there is no body: what is asked stands in it then.
+    /// Query. It counts only if there is no body, as it then carries the request's input.
     pub query: Option<&'a str>,
     /// Body.
     pub body: &'a [u8],
 }
 
 impl RequestIdentity<'_> {
-    /// Stands for all requests with this identity.
+    /// The fingerprint of all requests with this identity.
     pub fn fingerprint(&self) -> RequestFingerprint {
         let tenant = self.tenant.map(TenantId::as_str);
         let query = self.query.filter(|_| self.body.is_empty());
@@ -116,8 +115,7 @@
     }
 }
 
-/// Adds a part with its length, so that no two lists of parts join to the same
-/// bytes.
+/// Adds a part with its length, so that different lists of parts never yield the same bytes.
 fn add(hash: &mut Sha256, part: Option<&[u8]>) {
     let length = part.map_or(0, |part| part.len() as u64 + 1);
     hash.update(length.to_le_bytes());
--- a/components/quarantine/src/lib.rs
+++ b/components/quarantine/src/lib.rs
@@ -1,21 +1,21 @@
-//! Requests that crash the engines that run them, and how they are stopped.
+//! Quarantine of requests that crash the engines that run them.
 //!
-//! Gateways note runs that end with their engine ([`CrashLog`]) and tell the
-//! leader; it adds up what all of them saw ([`CrashTracker`]) and names the
-//! requests that are refused from then on.
+//! Gateways record the runs during which an engine crashed ([`CrashLog`]) and report them to the
+//! leader. The leader combines the reports of all gateways ([`CrashTracker`]) and decides which
+//! requests are refused.
 //!
 //! Contract: no socket, file or clock.
 
 mod crash;
 mod crash_log;
 mod fingerprint;
-mod placing;
+mod isolation;
 mod tracker;
 
 pub use crash::{
-    CRASHES_BORNE, EndedRun, EngineStart, RunEnd, RunReport, SuspectedRequest, Suspects,
+    CRASH_THRESHOLD, EndedRun, EngineStart, RunEnd, RunReport, SuspectedRequest, Suspects,
 };
-pub use crash_log::{CrashLog, Standing};
+pub use crash_log::{CrashLog, QuarantineStatus};
 pub use fingerprint::{FingerprintError, RequestFingerprint, RequestIdentity};
-pub use placing::own_backend;
-pub use tracker::{CrashTracker, Verdict};
+pub use isolation::isolation_backend;
+pub use tracker::{CrashTracker, RefusedRequest};
--- a/components/quarantine/src/tracker.rs
+++ b/components/quarantine/src/tracker.rs
@@ -1,120 +1,120 @@
-//! Which requests crash engines, as the runs of all gateways show it.
+//! The leader's estimate of which requests crash engines, from the reports of all gateways.
 //!
-//! All that runs on an engine ends with it, so each request of its batch looks
-//! as guilty as the one that crashed it. What tells them apart: a request that
-//! ran to its end somewhere is cleared; a crash that a refused request was at
-//! is held against no other one; and of those that were at several, the ones
-//! that were at the most are refused first. This is a belief: it is never
-//! logged, bounded, and a new leader is told it anew by the gateways.
+//! A crash ends all runs on the engine, so every request of the batch is suspected like the one
+//! that caused it. Three rules tell them apart: a request that completed anywhere is cleared; a
+//! crash during a run of a refused request does not count against other requests; and the
+//! requests with the most crashes are refused first. The estimate is bounded and never
+//! replicated: gateways report their runs again to a new leader.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use garnet_types::{BackendId, Millis};
 
-use crate::crash::{CRASHES_BORNE, EndedRun, EngineStart, RunEnd, RunReport, SuspectedRequest};
-use crate::crash_log::REMEMBERED_FOR;
+use crate::crash::{CRASH_THRESHOLD, EndedRun, EngineStart, RunEnd, RunReport, SuspectedRequest};
+use crate::crash_log::CRASH_LIFETIME;
 use crate::fingerprint::RequestFingerprint;
 
-/// Requests that are kept in view at most, some 200 bytes each.
-const MOST_TRACKED: usize = 16 * 1024;
-/// Suspected requests that gateways are told of at most, 16 bytes each.
-const MOST_SUSPECTED: usize = 128;
-/// All gateways tell of a crash within this time: the longest pause between two
-/// of their reports, and the way.
-const SETTLE: Millis = Millis(350);
-/// An answer of an engine that comes so long after its supposed crash was not on
-/// its way before: the engine lives, and only a connection broke.
-const SURELY_LATER: Millis = Millis::from_secs(5);
+/// Maximum number of tracked requests, some 200 bytes each.
+const MAX_TRACKED: usize = 16 * 1024;
+/// Maximum number of suspected requests that are published to gateways, 16 bytes each.
+const MAX_SUSPECTED: usize = 128;
+/// Time within which all gateways have reported a crash: the longest interval between two reports
+/// of a gateway, plus the network delay.
+const REPORT_DELAY: Millis = Millis(350);
+/// Time after a supposed crash in which an answer of the engine may still be from before it. A
+/// later answer shows that the engine did not crash and only a connection broke.
+const STALE_ANSWER_WINDOW: Millis = Millis::from_secs(5);
 
-/// A request under which engines ended.
+/// A request during whose runs engines crashed.
 #[derive(Debug, Default)]
-struct Tracked {
-    /// The engines that ended, and when the latest word of each came.
+struct TrackedRequest {
+    /// The engines that crashed, each with the time of its first report.
     engines: BTreeMap<EngineStart, Millis>,
-    /// When a run of it came to its end, and the engines before do not count.
+    /// When a run of the request last completed; earlier crashes do not count.
     completed_at: Option<Millis>,
-    /// When it was heard of last.
-    heard_at: Millis,
+    /// When the request was last reported.
+    reported_at: Millis,
 }
 
-/// Engines that ended under a request.
+/// The crashes during runs of a request.
 #[derive(Debug, Clone)]
 struct Crashes {
-    /// Those at which a refused request was too.
+    /// Number of crashes at which a refused request ran too.
     explained: usize,
-    /// When word of each of the others came, the first one first.
+    /// Times of the first reports of the other crashes, oldest first.
     unexplained: Vec<Millis>,
 }
 
 impl Crashes {
-    fn all(&self) -> usize {
+    fn total(&self) -> usize {
         self.explained + self.unexplained.len()
     }
 
-    /// So many that no refused request was at are too many. Two requests that
-    /// crash engines may be at the same crashes, and the one is refused for
-    /// them: that clears the other one of some, not of all that follows.
-    fn too_many(&self) -> usize {
+    /// Number of unexplained crashes at which the request is refused. Two requests that crash
+    /// engines may run at the same crashes. When one is refused for them, the other one is cleared
+    /// of these but needs fewer further crashes to be refused.
+    fn threshold(&self) -> usize {
         match self.explained {
-            0 => CRASHES_BORNE,
-            1 | 2 => CRASHES_BORNE - 1,
+            0 => CRASH_THRESHOLD,
+            1 | 2 => CRASH_THRESHOLD - 1,
             _ => 1,
         }
     }
 
-    fn are_too_many(&self) -> bool {
-        self.unexplained.len() >= self.too_many()
+    fn reach_threshold(&self) -> bool {
+        self.unexplained.len() >= self.threshold()
     }
 
-    /// Whether one more would be too many.
-    fn are_suspect(&self) -> bool {
-        self.unexplained.len() + 1 >= self.too_many() && self.all() + 1 >= CRASHES_BORNE
+    /// Whether one more crash would reach the threshold.
+    fn nearly_reach_threshold(&self) -> bool {
+        self.unexplained.len() + 1 >= self.threshold() && self.total() + 1 >= CRASH_THRESHOLD
     }
 
-    /// Whether all gateways have told of those that are too many. What comes
-    /// after them puts nothing off: a request that goes on crashing engines
-    /// would never be refused.
-    fn have_settled(&self, now: Millis) -> bool {
-        let decisive = self.unexplained.get(self.too_many() - 1);
-        decisive.is_none_or(|at| now.since(*at) >= SETTLE)
+    /// Whether all gateways have had time to report the crashes that reached the threshold. Later
+    /// crashes don't extend the wait; otherwise a request that keeps crashing engines would never
+    /// be refused.
+    fn are_fully_reported(&self, now: Millis) -> bool {
+        let decisive = self.unexplained.get(self.threshold() - 1);
+        decisive.is_none_or(|at| now.since(*at) >= REPORT_DELAY)
     }
 }
 
 /// A request that is refused from now on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Verdict {
+pub struct RefusedRequest {
     /// The request.
     pub fingerprint: RequestFingerprint,
-    /// Engines that ended under it.
+    /// Number of engines that crashed during its runs.
     pub crashes: usize,
 }
 
-/// The leader's view.
+/// The leader's record of the crashes and of the refused requests.
 #[derive(Debug, Default)]
 pub struct CrashTracker {
-    tracked: BTreeMap<RequestFingerprint, Tracked>,
+    tracked: BTreeMap<RequestFingerprint, TrackedRequest>,
     refused: BTreeSet<RequestFingerprint>,
-    /// Engines that somebody's run ended at, to be struck off where they live.
-    ended: BTreeMap<BackendId, Millis>,
+    /// Engines that are supposed to have crashed, with the time of the first report. Their crashes
+    /// are dropped if the engine still answers.
+    ended_engines: BTreeMap<BackendId, Millis>,
     suspected: Vec<RequestFingerprint>,
-    /// Whether anything was heard that [`Self::settle`] has not weighed.
-    is_changed: bool,
+    /// Whether anything has changed that [`Self::decide`] has not taken into account.
+    has_changed: bool,
 }
 
 impl CrashTracker {
-    /// Takes the report of a gateway.
-    pub fn note(&mut self, report: &RunReport, now: Millis) {
+    /// Applies a gateway's report.
+    pub fn apply_report(&mut self, report: &RunReport, now: Millis) {
         for run in &report.runs {
-            self.note_run(run, now);
+            self.apply_run(run, now);
         }
-        self.is_changed |= !report.runs.is_empty();
-        self.keep_bounded();
+        self.has_changed |= !report.runs.is_empty();
+        self.evict_oldest();
     }
 
-    fn note_run(&mut self, run: &EndedRun, now: Millis) {
+    fn apply_run(&mut self, run: &EndedRun, now: Millis) {
         let at = now - run.ago;
         let tracked = self.tracked.entry(run.fingerprint).or_default();
-        tracked.heard_at = now;
+        tracked.reported_at = now;
         match &run.end {
             RunEnd::Completed => {
                 tracked.completed_at = tracked.completed_at.max(Some(at));
@@ -125,100 +125,108 @@
                     return;
                 }
                 tracked.engines.entry(engine.clone()).or_insert(now);
-                self.ended.entry(engine.backend.clone()).or_insert(now);
+                self.ended_engines
+                    .entry(engine.backend.clone())
+                    .or_insert(now);
             }
         }
     }
 
-    /// An engine has answered a request: where its crash is long ago by now, it
-    /// was none.
+    /// Records that an engine answered a request. If its supposed crash is long enough ago, it did
+    /// not crash.
     pub fn answered(&mut self, backend: &BackendId, now: Millis) {
-        let Some(ended_at) = self.ended.get(backend) else {
+        let Some(ended_at) = self.ended_engines.get(backend) else {
             return;
         };
-        if now.since(*ended_at) < SURELY_LATER {
+        if now.since(*ended_at) < STALE_ANSWER_WINDOW {
             return;
         }
-        self.ended.remove(backend);
+        self.ended_engines.remove(backend);
         for tracked in self.tracked.values_mut() {
-            let is_other = |engine: &EngineStart, at: &Millis| {
-                engine.backend != *backend || now.since(*at) < SURELY_LATER
+            let is_kept = |engine: &EngineStart, at: &Millis| {
+                engine.backend != *backend || now.since(*at) < STALE_ANSWER_WINDOW
             };
-            tracked.engines.retain(|engine, at| is_other(engine, at));
+            tracked.engines.retain(|engine, at| is_kept(engine, at));
         }
-        self.is_changed = true;
+        self.has_changed = true;
     }
 
-    /// Requests that are refused from now on. They stay so until they are
-    /// released.
-    pub fn settle(&mut self, now: Millis) -> Vec<Verdict> {
+    /// Decides which further requests are refused, and returns them. They stay refused until they
+    /// are released.
+    pub fn decide(&mut self, now: Millis) -> Vec<RefusedRequest> {
         self.forget_old(now);
-        if !self.is_changed {
+        if !self.has_changed {
             return Vec::new();
         }
-        let mut verdicts = Vec::new();
-        while let Some(worst) = self.worst() {
-            if !worst.values().all(|crashes| crashes.have_settled(now)) {
-                // Others of the same crashes are about to be told of.
-                self.suspected = self.find_suspected();
-                return verdicts;
+        let mut newly_refused = Vec::new();
+        while let Some(most_crashed) = self.most_crashed() {
+            if !most_crashed
+                .values()
+                .all(|crashes| crashes.are_fully_reported(now))
+            {
+                // Reports of other requests at the same crashes may still arrive.
+                self.suspected = self.compute_suspected();
+                return newly_refused;
             }
-            for (fingerprint, crashes) in worst {
+            for (fingerprint, crashes) in most_crashed {
                 self.refused.insert(fingerprint);
-                verdicts.push(Verdict {
+                newly_refused.push(RefusedRequest {
                     fingerprint,
-                    crashes: crashes.all(),
+                    crashes: crashes.total(),
                 });
             }
         }
-        self.is_changed = false;
-        self.suspected = self.find_suspected();
-        verdicts
+        self.has_changed = false;
+        self.suspected = self.compute_suspected();
+        newly_refused
     }
 
-    /// The requests with the most crashes of those with too many.
-    fn worst(&self) -> Option<BTreeMap<RequestFingerprint, Crashes>> {
-        let mut guilty = self.open();
-        guilty.retain(|_, crashes| crashes.are_too_many());
+    /// The requests with the most crashes among those that reach the threshold.
+    fn most_crashed(&self) -> Option<BTreeMap<RequestFingerprint, Crashes>> {
+        let mut over_threshold = self.unrefused();
+        over_threshold.retain(|_, crashes| crashes.reach_threshold());
         let count = |crashes: &Crashes| crashes.unexplained.len();
-        let most = guilty.values().map(count).max()?;
-        guilty.retain(|_, crashes| count(crashes) == most);
-        Some(guilty)
+        let max_count = over_threshold.values().map(count).max()?;
+        over_threshold.retain(|_, crashes| count(crashes) == max_count);
+        Some(over_threshold)
     }
 
     /// The crashes of each request that is not refused.
-    fn open(&self) -> BTreeMap<RequestFingerprint, Crashes> {
+    fn unrefused(&self) -> BTreeMap<RequestFingerprint, Crashes> {
         let refused = self.refused.iter().filter_map(|id| self.tracked.get(id));
         let explained: BTreeSet<&EngineStart> = refused.flat_map(|t| t.engines.keys()).collect();
-        let open = self.tracked.iter();
-        let open = open.filter(|(id, _)| !self.refused.contains(*id));
-        open.map(|(id, tracked)| {
-            let engines = tracked.engines.iter();
-            let others = engines.filter(|(engine, _)| !explained.contains(engine));
-            let mut unexplained: Vec<Millis> = others.map(|(_, at)| *at).collect();
-            unexplained.sort_unstable();
-            let crashes = Crashes {
-                explained: tracked.engines.len() - unexplained.len(),
-                unexplained,
-            };
-            (*id, crashes)
-        })
-        .collect()
+        let unrefused = self.tracked.iter();
+        let unrefused = unrefused.filter(|(id, _)| !self.refused.contains(*id));
+        unrefused
+            .map(|(id, tracked)| {
+                let engines = tracked.engines.iter();
+                let unexplained_engines = engines.filter(|(engine, _)| !explained.contains(engine));
+                let mut unexplained: Vec<Millis> = unexplained_engines.map(|(_, at)| *at).collect();
+                unexplained.sort_unstable();
+                let crashes = Crashes {
+                    explained: tracked.engines.len() - unexplained.len(),
+                    unexplained,
+                };
+                (*id, crashes)
+            })
+            .collect()
     }
 
     /// Requests that are refused after one more crash, at most
-    /// [`MOST_SUSPECTED`].
+    /// [`MAX_SUSPECTED`].
     pub fn suspected(&self) -> &[RequestFingerprint] {
         &self.suspected
     }
 
-    fn find_suspected(&self) -> Vec<RequestFingerprint> {
-        let open = self.open();
-        let suspected = open.iter().filter(|(_, crashes)| crashes.are_suspect());
-        suspected.map(|(id, _)| *id).take(MOST_SUSPECTED).collect()
+    fn compute_suspected(&self) -> Vec<RequestFingerprint> {
+        let unrefused = self.unrefused();
+        let suspected = unrefused
+            .iter()
+            .filter(|(_, crashes)| crashes.nearly_reach_threshold());
+        suspected.map(|(id, _)| *id).take(MAX_SUSPECTED).collect()
     }
 
-    /// Engines that ended under a request.
+    /// Engines that crashed during runs of a request.
     pub fn engines(&self, fingerprint: &RequestFingerprint) -> Vec<EngineStart> {
         let tracked = self.tracked.get(fingerprint);
         tracked.map_or(Vec::new(), |tracked| {
@@ -226,17 +234,17 @@
         })
     }
 
-    /// Takes over what a former leader knew.
-    pub fn take_over(&mut self, suspected: SuspectedRequest, now: Millis) {
+    /// Restores a suspected request that a former leader stored.
+    pub fn restore(&mut self, suspected: SuspectedRequest, now: Millis) {
         let tracked = self.tracked.entry(suspected.fingerprint).or_default();
-        tracked.heard_at = now;
+        tracked.reported_at = now;
         for engine in suspected.engines {
             tracked.engines.entry(engine).or_insert(now);
         }
-        self.is_changed = true;
+        self.has_changed = true;
     }
 
-    /// Requests that are kept in view.
+    /// Number of tracked requests.
     pub fn tracked(&self) -> usize {
         self.tracked.len()
     }
@@ -246,39 +254,40 @@
         self.refused.iter().copied()
     }
 
-    /// A request is refused, whatever was seen of it here.
+    /// Refuses a request, whatever its crashes.
     pub fn refuse(&mut self, fingerprint: RequestFingerprint) {
-        self.is_changed |= self.refused.insert(fingerprint);
+        self.has_changed |= self.refused.insert(fingerprint);
     }
 
-    /// A request is refused no longer. What was held against it is void.
+    /// Stops refusing a request, and drops its crashes.
     pub fn release(&mut self, fingerprint: &RequestFingerprint) {
         self.refused.remove(fingerprint);
         self.tracked.remove(fingerprint);
-        self.is_changed = true;
+        self.has_changed = true;
     }
 
     fn forget_old(&mut self, now: Millis) {
         let before = self.tracked.len();
         let refused = &self.refused;
-        let is_old = |heard_at| now.since(heard_at) > REMEMBERED_FOR;
+        let is_old = |reported_at| now.since(reported_at) > CRASH_LIFETIME;
         self.tracked
-            .retain(|id, tracked| refused.contains(id) || !is_old(tracked.heard_at));
-        self.ended.retain(|_, at| !is_old(*at));
-        self.is_changed |= self.tracked.len() != before;
+            .retain(|id, tracked| refused.contains(id) || !is_old(tracked.reported_at));
+        self.ended_engines.retain(|_, at| !is_old(*at));
+        self.has_changed |= self.tracked.len() != before;
     }
 
-    /// The quarter that was heard of longest ago goes first.
-    fn keep_bounded(&mut self) {
-        if self.tracked.len() <= MOST_TRACKED {
+    /// Drops the quarter with the oldest reports when there are too many tracked requests. Refused
+    /// requests are kept.
+    fn evict_oldest(&mut self) {
+        if self.tracked.len() <= MAX_TRACKED {
             return;
         }
-        let mut ages: Vec<Millis> = self.tracked.values().map(|t| t.heard_at).collect();
-        let quarter = ages.len() / 4;
-        let (_, limit, _) = ages.select_nth_unstable(quarter);
-        let limit = *limit;
+        let mut report_times: Vec<Millis> = self.tracked.values().map(|t| t.reported_at).collect();
+        let quarter = report_times.len() / 4;
+        let (_, cutoff, _) = report_times.select_nth_unstable(quarter);
+        let cutoff = *cutoff;
         let refused = &self.refused;
-        let is_newer = |tracked: &Tracked| tracked.heard_at > limit;
+        let is_newer = |tracked: &TrackedRequest| tracked.reported_at > cutoff;
         self.tracked
             .retain(|id, tracked| refused.contains(id) || is_newer(tracked));
     }
--- a/components/quarantine/tests/crashes/log.rs
+++ b/components/quarantine/tests/crashes/log.rs
@@ -1,6 +1,6 @@
-//! What one gateway remembers and tells.
+//! The crash log of one gateway.
 
-use garnet_quarantine::{CrashLog, RunEnd, Standing, Suspects};
+use garnet_quarantine::{CrashLog, QuarantineStatus, RunEnd, Suspects};
 use garnet_types::Millis;
 
 use crate::{engine, request};
@@ -16,111 +16,115 @@
 }
 
 #[test]
-fn its_own_sight_is_enough() {
-    let standing = |count| with_crashes(count).standing(request("bad"));
-    assert_eq!(standing(1), Standing::Clear);
-    assert_eq!(standing(2), Standing::Suspected);
-    assert_eq!(standing(3), Standing::Refused);
-    assert_eq!(with_crashes(3).standing(request("other")), Standing::Clear);
+fn local_crashes_suffice_to_refuse() {
+    let status = |count| with_crashes(count).status(request("bad"));
+    assert_eq!(status(1), QuarantineStatus::Clear);
+    assert_eq!(status(2), QuarantineStatus::Suspected);
+    assert_eq!(status(3), QuarantineStatus::Refused);
+    assert_eq!(
+        with_crashes(3).status(request("other")),
+        QuarantineStatus::Clear
+    );
 }
 
-/// It stood beside at all three: the leader knows more than one gateway, and
-/// says so within moments. Without a leader one more is enough.
+/// If another request ran at all three crashes, the gateway can't tell which one is the cause and
+/// leaves the decision to the leader, which has the reports of all gateways. A fourth crash suffices
+/// without the leader.
 #[test]
-fn where_another_one_was_there_each_time_the_leader_decides() {
+fn the_leader_decides_between_requests_at_the_same_crashes() {
     let mut log = with_crashes(3);
     for number in 0..3 {
         log.crashed(request("beside"), engine(&format!("e{number}")), NOW);
     }
-    assert_eq!(log.standing(request("bad")), Standing::Suspected);
-    assert_eq!(log.standing(request("beside")), Standing::Suspected);
+    assert_eq!(log.status(request("bad")), QuarantineStatus::Suspected);
+    assert_eq!(log.status(request("beside")), QuarantineStatus::Suspected);
     log.crashed(request("bad"), engine("e3"), NOW);
-    assert_eq!(log.standing(request("bad")), Standing::Refused);
-    assert_eq!(log.standing(request("beside")), Standing::Suspected);
+    assert_eq!(log.status(request("bad")), QuarantineStatus::Refused);
+    assert_eq!(log.status(request("beside")), QuarantineStatus::Suspected);
 }
 
 #[test]
 fn an_engine_counts_once() {
     let mut log = with_crashes(2);
     log.crashed(request("bad"), engine("e0"), NOW);
-    assert_eq!(log.standing(request("bad")), Standing::Suspected);
+    assert_eq!(log.status(request("bad")), QuarantineStatus::Suspected);
 }
 
 #[test]
-fn what_the_leader_says_counts_as_much() {
+fn suspects_of_the_leader_count_as_well() {
     let mut log = CrashLog::default();
     assert!(log.is_empty());
-    log.take(Suspects {
+    log.update_suspects(Suspects {
         suspected: vec![request("a")],
         refused: vec![request("b")],
     });
     assert!(!log.is_empty());
-    assert_eq!(log.standing(request("a")), Standing::Suspected);
-    assert_eq!(log.standing(request("b")), Standing::Refused);
-    log.take(Suspects::default());
+    assert_eq!(log.status(request("a")), QuarantineStatus::Suspected);
+    assert_eq!(log.status(request("b")), QuarantineStatus::Refused);
+    log.update_suspects(Suspects::default());
     assert!(log.is_empty());
 }
 
 #[test]
-fn it_tells_until_the_leader_confirms() {
+fn runs_are_reported_until_the_leader_confirms() {
     let mut log = with_crashes(2);
-    let told = log.report(NOW + Millis(40)).expect("news");
-    assert_eq!(told.runs.len(), 2);
-    assert_eq!(told.runs[0].ago, Millis(40));
+    let first = log.report(NOW + Millis(40)).expect("a report");
+    assert_eq!(first.runs.len(), 2);
+    assert_eq!(first.runs[0].ago, Millis(40));
     assert_eq!(
         log.report(NOW).map(|again| again.runs),
-        Some(log.report(NOW).expect("news").runs)
+        Some(log.report(NOW).expect("a report").runs)
     );
-    log.confirmed(told.through);
+    log.confirmed(first.through);
     assert_eq!(log.report(NOW), None);
     log.crashed(request("other"), engine("e7"), NOW);
-    assert_eq!(log.report(NOW).expect("news").runs.len(), 1);
+    assert_eq!(log.report(NOW).expect("a report").runs.len(), 1);
 }
 
 #[test]
-fn another_leader_is_told_all_of_it() {
+fn all_runs_are_reported_to_a_new_leader() {
     let mut log = with_crashes(2);
-    let through = log.report(NOW).expect("news").through;
+    let through = log.report(NOW).expect("a report").through;
     log.confirmed(through);
-    log.tell_anew();
-    assert_eq!(log.report(NOW).expect("news").runs.len(), 2);
+    log.resend_all();
+    assert_eq!(log.report(NOW).expect("a report").runs.len(), 2);
 }
 
 #[test]
-fn a_long_story_is_told_in_parts() {
+fn many_runs_are_reported_in_batches() {
     let mut log = CrashLog::default();
     for number in 0..300 {
         log.crashed(request(&format!("r{number}")), engine("e1"), NOW);
     }
-    let mut told = 0;
+    let mut reported = 0;
     while let Some(report) = log.report(NOW) {
-        told += report.runs.len();
+        reported += report.runs.len();
         log.confirmed(report.through);
     }
-    assert_eq!(told, 300);
+    assert_eq!(reported, 300);
 }
 
 #[test]
-fn a_run_that_came_to_its_end_is_told_and_clears() {
+fn a_completed_run_is_reported_and_clears_its_request() {
     let mut log = with_crashes(2);
     log.completed(request("bad"), NOW);
-    assert_eq!(log.standing(request("bad")), Standing::Clear);
-    let runs = log.report(NOW).expect("news").runs;
+    assert_eq!(log.status(request("bad")), QuarantineStatus::Clear);
+    let runs = log.report(NOW).expect("a report").runs;
     assert_eq!(runs.len(), 1);
     assert_eq!(runs[0].end, RunEnd::Completed);
 }
 
 #[test]
-fn a_run_of_a_request_that_nobody_suspects_is_no_news() {
+fn a_completed_run_of_an_unsuspected_request_is_not_reported() {
     let mut log = with_crashes(1);
     log.completed(request("other"), NOW);
-    assert_eq!(log.report(NOW).expect("news").runs.len(), 1);
+    assert_eq!(log.report(NOW).expect("a report").runs.len(), 1);
 }
 
 #[test]
-fn what_is_old_is_forgotten() {
+fn old_crashes_are_forgotten() {
     let mut log = with_crashes(3);
     assert_eq!(log.report(NOW + Millis::from_secs(901)), None);
     assert!(log.is_empty());
-    assert_eq!(log.standing(request("bad")), Standing::Clear);
+    assert_eq!(log.status(request("bad")), QuarantineStatus::Clear);
 }
--- a/components/quarantine/tests/crashes/main.rs
+++ b/components/quarantine/tests/crashes/main.rs
@@ -1,4 +1,4 @@
-//! Which requests are refused for the crashes that they were at.
+//! Suspicion and refusal of requests that run at engine crashes.
 
 mod log;
 mod tracker;
--- a/components/quarantine/tests/fingerprint.rs
+++ b/components/quarantine/tests/fingerprint.rs
@@ -1,4 +1,4 @@
-//! Which requests are the same request.
+//! Fingerprints: which attempts count as the same request.
 
 use garnet_quarantine::{RequestFingerprint, RequestIdentity};
 use garnet_types::TenantId;
@@ -20,15 +20,17 @@
 #[case::method(RequestIdentity { method: "PUT", ..request() })]
 #[case::host(RequestIdentity { host: "other.example", ..request() })]
 #[case::path(RequestIdentity { path: "/offers/8", ..request() })]
-#[case::spelling_of_the_path(RequestIdentity { path: "/Offers/7", ..request() })]
+#[case::case_of_the_path(RequestIdentity { path: "/Offers/7", ..request() })]
 #[case::body(RequestIdentity { body: b"three gem pack", ..request() })]
 #[case::no_body(RequestIdentity { body: b"", ..request() })]
-fn what_a_back_end_goes_by_parts_two_requests(#[case] other: RequestIdentity<'_>) {
+fn requests_that_differ_for_the_back_end_have_different_fingerprints(
+    #[case] other: RequestIdentity<'_>,
+) {
     assert_ne!(request().fingerprint(), other.fingerprint());
 }
 
 #[test]
-fn the_same_request_of_another_caller_is_another_request() {
+fn the_tenant_is_part_of_the_fingerprint() {
     let (one, two) = (TenantId::new("one"), TenantId::new("two"));
     let of = |tenant| {
         RequestIdentity {
@@ -43,7 +45,7 @@
 }
 
 #[test]
-fn the_case_of_a_host_does_not_count() {
+fn the_case_of_the_host_does_not_matter() {
     let other = RequestIdentity {
         host: "Shop.EXAMPLE",
         ..request()
@@ -51,12 +53,12 @@
     assert_eq!(request().fingerprint(), other.fingerprint());
 }
 
-/// A caller can add to the query of a request what it likes; what the engine
-/// reads is the body. Without a body the query is what is asked.
+/// A caller can vary the query of a request at will, but the engine uses the body. Without a body
+/// the query carries the input.
 #[rstest]
 #[case::beside_a_body(b"three gem packs".as_slice(), true)]
 #[case::without_a_body(b"".as_slice(), false)]
-fn a_query_counts_where_there_is_no_body(#[case] body: &[u8], #[case] same: bool) {
+fn the_query_counts_only_without_a_body(#[case] body: &[u8], #[case] same: bool) {
     let with = |query| {
         RequestIdentity {
             query,
@@ -75,15 +77,15 @@
 #[case("0123456789abcdef0123456789abcdeg")]
 #[case("+123456789abcdef0123456789abcdef")]
 #[case("0123456789abcdef0123456789abcdef0")]
-fn a_text_that_is_no_fingerprint_is_refused(#[case] text: &str) {
+fn malformed_fingerprints_do_not_parse(#[case] text: &str) {
     let error = text.parse::<RequestFingerprint>().expect_err("refused");
     assert_eq!(error.to_string(), "a fingerprint has 32 hexadecimal digits");
 }
 
 proptest! {
-    /// Where one part ends and the next begins counts.
+    /// The boundary between two parts is part of the fingerprint.
     #[test]
-    fn parts_are_kept_apart(path in "[a-z/]{0,6}", body in "[a-z/]{0,6}", cut in 0usize..12) {
+    fn parts_are_delimited(path in "[a-z/]{0,6}", body in "[a-z/]{0,6}", cut in 0usize..12) {
         let whole = format!("{path}{body}");
         let cut = cut.min(whole.len());
         let (other_path, other_body) = whole.split_at(cut);
@@ -95,7 +97,7 @@
     }
 
     #[test]
-    fn a_fingerprint_is_read_as_it_is_written(body: Vec<u8>) {
+    fn a_displayed_fingerprint_parses_to_itself(body: Vec<u8>) {
         let fingerprint = RequestIdentity { body: &body, ..request() }.fingerprint();
         prop_assert_eq!(fingerprint.to_string().parse(), Ok(fingerprint));
     }
