--- a/bin/garnet-bench/src/fleet.rs
+++ b/bin/garnet-bench/src/fleet.rs
@@ -9,7 +9,8 @@
     EngineObservation, LoadDigest, MembersHash, PromptCopy, ToldDigest, UNTOLD_START, WatchUpdate,
 };
 use garnet_forwarding::{
-    Arrival, BudgetShare, Forwarder, ForwarderSettings, Prompt, PromptPart, ReportedLimit, Work,
+    Arrival, Forwarder, ForwarderSettings, Prompt, PromptPart, ReportedLimit, SharedRetryBudget,
+    Work,
 };
 use garnet_limits::{LimitLedger, LimitReport, PermitAsk, PermitOutcome, RateError, RequestRate};
 use garnet_routes::{EngineLimits, RouteTable, ServiceSettings, WorkKind};
@@ -61,7 +62,7 @@
         waited: Millis::ZERO,
         deadline: Millis(6_000),
         remaining: Millis(6_000),
-        came_back: false,
+        is_retry: false,
     };
     each("place a prompt", rounds, |_| {
         gateway.place_new(&service, &work, &arrival, NOW).is_some()
@@ -145,7 +146,7 @@
 fn gateway(engines: usize) -> Forwarder {
     let mut gateway = Forwarder::new(ForwarderSettings {
         zone: "a".to_owned(),
-        budget: BudgetShare {
+        budget: SharedRetryBudget {
             per_request: 0.2,
             extra: 50.0,
             window: Millis::from_secs(10),
--- a/components/forwarding-shell/src/answers.rs
+++ b/components/forwarding-shell/src/answers.rs
@@ -1,6 +1,6 @@
 //! Answers that the gateway gives itself.
 
-use garnet_forwarding::{AccessDenied, SHORTEST_RETRY};
+use garnet_forwarding::{AccessDenied, MIN_RETRY_AFTER};
 use garnet_runtime::server::set_header;
 use garnet_runtime::{Body, text_response};
 use garnet_types::Millis;
@@ -84,5 +84,5 @@
 /// When a caller that was refused may come again: late enough for a moment's
 /// crowd to pass, early enough for its answer to be useful.
 pub(crate) fn retry_after(objective: Millis) -> Millis {
-    Millis(objective.0 / 4).max(SHORTEST_RETRY)
+    Millis(objective.0 / 4).max(MIN_RETRY_AFTER)
 }
--- a/components/forwarding-shell/src/attempt.rs
+++ b/components/forwarding-shell/src/attempt.rs
@@ -43,7 +43,7 @@
             }
             JobPhase::Decode(_) => {
                 if let Some(prompt) = prompt {
-                    forwarder.handed_over(&backend, prompt, job.priority, now);
+                    forwarder.sent_for_decode(&backend, prompt, job.priority, now);
                 }
                 PrefillWork::default()
             }
@@ -76,9 +76,9 @@
         let now = self.gateway.now();
         let uncached = std::mem::take(&mut self.prefill_work.uncached);
         let mut forwarder = self.gateway.forwarder.borrow_mut();
-        forwarder.read(&self.backend, self.rank, uncached);
+        forwarder.prefilled(&self.backend, self.rank, uncached);
         if let Some(prompt) = &self.prompt {
-            forwarder.holds(&self.backend, prompt, now);
+            forwarder.note_cached(&self.backend, prompt, now);
         }
     }
 
@@ -97,7 +97,7 @@
         let mut forwarder = self.gateway.forwarder.borrow_mut();
         forwarder.succeeded(&self.backend);
         if let (Some(since), Some(prompt)) = (self.generates_since, &self.prompt) {
-            forwarder.note_place(&self.backend, prompt, now.since(since));
+            forwarder.note_slot_time(&self.backend, prompt, now.since(since));
         }
     }
 
@@ -129,7 +129,7 @@
     pub(crate) fn completed(&self, call: &Call) {
         let now = self.gateway.now();
         let mut forwarder = self.gateway.forwarder.borrow_mut();
-        if !forwarder.suspects_nobody() {
+        if !forwarder.has_no_suspects() {
             forwarder.run_completed(call.fingerprint(), now);
         }
     }
@@ -161,7 +161,7 @@
 impl<C: CallerPort, B: BackendPort> Drop for AttemptGuard<C, B> {
     fn drop(&mut self) {
         let mut forwarder = self.gateway.forwarder.borrow_mut();
-        forwarder.read(&self.backend, self.rank, self.prefill_work.uncached);
+        forwarder.prefilled(&self.backend, self.rank, self.prefill_work.uncached);
         forwarder.ended(&self.backend, self.rank, self.prompt.as_ref());
         if !self.judged {
             forwarder.released(&self.backend);
--- a/components/forwarding-shell/src/connection_queue.rs
+++ b/components/forwarding-shell/src/connection_queue.rs
@@ -4,7 +4,7 @@
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 
-use garnet_forwarding::SHORTEST_RETRY;
+use garnet_forwarding::MIN_RETRY_AFTER;
 use garnet_types::{Millis, ServiceId};
 use smol::channel::{Receiver, Sender, bounded};
 
@@ -131,7 +131,7 @@
         let left = until.since(gateway.now());
         if left == Millis::ZERO {
             let waited = gateway.now().since(began);
-            break Waited::TooLong(waited.max(SHORTEST_RETRY));
+            break Waited::TooLong(waited.max(MIN_RETRY_AFTER));
         }
         let woken = within(Some(left.min(LOOK_AGAIN)), waiter.woken.recv()).await;
         if !may_be_sent(gateway, running) {
--- a/components/forwarding-shell/src/going_on.rs
+++ b/components/forwarding-shell/src/going_on.rs
@@ -83,7 +83,7 @@
     call: &Call,
 ) -> Standing {
     let forwarder = gateway.forwarder.borrow();
-    if forwarder.suspects_nobody() {
+    if forwarder.has_no_suspects() {
         return Standing::Clear;
     }
     forwarder.standing(call.fingerprint())
@@ -111,7 +111,7 @@
     let mut left_out = {
         let forwarder = gateway.forwarder.borrow();
         let fingerprint = running.call.fingerprint();
-        forwarder.not_its_own(service, fingerprint, tried, gateway.now())
+        forwarder.excluded_for_suspect(service, fingerprint, tried, gateway.now())
     };
     left_out.extend(tried.iter().cloned());
     place(&left_out).or_else(|| place(tried))
--- a/components/forwarding-shell/src/handover.rs
+++ b/components/forwarding-shell/src/handover.rs
@@ -37,7 +37,7 @@
         let Some(remaining) = forwarder.backoff_remaining(&self.prefill_engine, now) else {
             return Some(now);
         };
-        let is_kept = remaining < forwarder.cache_kept(&self.prefill_engine);
+        let is_kept = remaining < forwarder.unclaimed_cache_lifetime(&self.prefill_engine);
         is_kept.then(|| now + remaining)
     }
 
@@ -158,8 +158,8 @@
         shared_tokens = prompt.map_or(0, Prompt::shared_tokens),
         uncached_tokens = prefill_work.uncached,
         queued_tokens = prefill_work.queued,
-        queued_by_others = prefill_work.queued_by_others,
-        heard_ago_ms = prefill_work.heard_ago.0,
+        queued_by_others = prefill_work.queued_by_peers,
+        heard_ago_ms = prefill_work.peer_load_age.0,
         copied_from = copied_from,
         took_ms = took.0;
         "prefill_done"
--- a/components/forwarding-shell/src/permits.rs
+++ b/components/forwarding-shell/src/permits.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 
 use garnet_control::GatewayRequest;
-use garnet_forwarding::SHORTEST_RETRY;
+use garnet_forwarding::MIN_RETRY_AFTER;
 use garnet_limits::{Asking, PermitAnswer, PermitAsk, PermitOutcome};
 use garnet_types::{GatewayId, Millis};
 use smol::channel::{Receiver, Sender, bounded};
@@ -124,7 +124,7 @@
     answer: &PermitAnswer,
 ) {
     let now = gateway.now();
-    gateway.forwarder.borrow_mut().permit_answered(answer, now);
+    gateway.forwarder.borrow_mut().on_permit_answer(answer, now);
     let outcome = match answer.outcome {
         PermitOutcome::Granted { .. } => "granted",
         PermitOutcome::Refused { .. } => "refused",
@@ -194,13 +194,13 @@
             Some(PermitOutcome::Granted { .. }) => match place() {
                 Some(placed) => return Ok(placed),
                 // Another request has used it.
-                None => SHORTEST_RETRY,
+                None => MIN_RETRY_AFTER,
             },
             Some(PermitOutcome::Refused { retry_after, .. }) => retry_after,
             None => RETRY_WITHOUT_LEADER,
         },
     };
-    let retry_after = retry_after.max(SHORTEST_RETRY);
+    let retry_after = retry_after.max(MIN_RETRY_AFTER);
     log::info!(
         request = running.call.facts.id.as_str(),
         service = running.service.as_str(),
--- a/components/forwarding-shell/src/request.rs
+++ b/components/forwarding-shell/src/request.rs
@@ -59,8 +59,8 @@
 
     /// Whether a run now would break no promise.
     pub(crate) fn may_run_again(&self) -> bool {
-        let Progress { ran, kept, .. } = self.progress;
-        let may_repeat = self.work.kind.may_repeat() && ran + kept < self.work.max_attempts;
+        let Progress { ran, silent, .. } = self.progress;
+        let may_repeat = self.work.kind.may_repeat() && ran + silent < self.work.max_attempts;
         may_repeat || self.progress.surely_not_run()
     }
 
@@ -81,7 +81,7 @@
             waited: now.since(self.arrived),
             remaining: self.remaining(now).min(longest_gap),
             deadline: self.remaining(now),
-            came_back: (given.0 as f64) < whole * FIRST_CALL_TIME,
+            is_retry: (given.0 as f64) < whole * FIRST_CALL_TIME,
         }
     }
 }
--- a/components/forwarding-shell/src/start.rs
+++ b/components/forwarding-shell/src/start.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 
 use garnet_control::GatewayRequest;
-use garnet_forwarding::{BudgetShare, Forwarder, ForwarderSettings, UsageMeter};
+use garnet_forwarding::{Forwarder, ForwarderSettings, SharedRetryBudget, UsageMeter};
 use garnet_routes::CallerLimits;
 use garnet_runtime::server::{Limits, bind_metrics, with_type};
 use garnet_runtime::{
@@ -53,7 +53,7 @@
     /// Length of the windows over which usage is told; `None` counts none.
     pub usage_window: Option<Millis>,
     /// Repeats that all gateways together may send a service.
-    pub budget: BudgetShare,
+    pub budget: SharedRetryBudget,
     /// How a planned stop goes.
     pub stop: StopTimes,
 }
--- a/components/forwarding-shell/src/stream/placing.rs
+++ b/components/forwarding-shell/src/stream/placing.rs
@@ -57,7 +57,7 @@
             predicted_ms = predicted.0,
             objective_ms = work.objective.0,
             retry_after_ms = retry_after.0,
-            came_back = arrival.came_back;
+            came_back = arrival.is_retry;
             "admission_refused"
         );
         Err(Refused::Busy(retry_after))
@@ -96,7 +96,7 @@
         let priority = match &phase {
             // Its prompt is prefilled: it holds up nobody's first token.
             JobPhase::Decode(_) => work.priority,
-            _ => work.rank(self.uncached_tokens(&phase, &backend)),
+            _ => work.engine_priority(self.uncached_tokens(&phase, &backend)),
         };
         Job {
             phase,
--- a/components/forwarding-shell/src/stream/successor.rs
+++ b/components/forwarding-shell/src/stream/successor.rs
@@ -52,7 +52,7 @@
                 None
             }
             First::Successor { found, broke_off } => {
-                self.search.running.progress.left_kept();
+                self.search.running.progress.silent_ended();
                 self.leave(silent.as_ref(), broke_off);
                 let cut = Next::Cut(CutCause::NoSuccessor);
                 Some(found.map_or(cut, |found| self.adopt(*found)))
@@ -86,7 +86,7 @@
     /// The engine that was silent goes on to have the answer.
     fn keep(&mut self, silent: Option<BackendId>) {
         self.search.running.served_by = silent;
-        self.search.running.progress.resumed_kept();
+        self.search.running.progress.silent_resumed();
     }
 
     /// The engine that was silent is out of it.
--- a/components/forwarding-shell/src/watch.rs
+++ b/components/forwarding-shell/src/watch.rs
@@ -121,7 +121,7 @@
         let now = self.gateway.now();
         let rested = now.since(self.usage_told_at.get());
         let mut usage = usage.borrow_mut();
-        let rest = if usage.has_news() {
+        let rest = if usage.has_unlogged() {
             usage_interval(self.gateway.forwarder.borrow().gateways())
         } else {
             TIME_INTERVAL
@@ -153,7 +153,7 @@
             return;
         }
         if let ControlReply::RunsNoted { through } = reply {
-            self.gateway.forwarder.borrow_mut().runs_noted(through);
+            self.gateway.forwarder.borrow_mut().runs_confirmed(through);
             return;
         }
         let reply = match reply {
@@ -183,7 +183,7 @@
         let mut forwarder = self.gateway.forwarder.borrow_mut();
         let before = InForce::of(&forwarder);
         let part = match update {
-            WatchUpdate::Parts { index } => forwarder.offered_parts(index, self.gateway.now()),
+            WatchUpdate::Parts { index } => forwarder.on_parts_offered(index, self.gateway.now()),
             update => {
                 forwarder.update(update);
                 None
@@ -194,7 +194,7 @@
         if let Some(digest) = digest {
             forwarder.take_digest(&digest, self.gateway.now());
         }
-        forwarder.take_copy_news(&copies, self.gateway.now());
+        forwarder.take_copy_updates(&copies, self.gateway.now());
         if let Some(suspects) = suspects {
             forwarder.take_suspects(suspects);
         }
@@ -219,7 +219,7 @@
         let now = self.gateway.now();
         let mut forwarder = self.gateway.forwarder.borrow_mut();
         let before = InForce::of(&forwarder);
-        let next = forwarder.take_part(part, now);
+        let next = forwarder.take_configuration_part(part, now);
         let is_whole = InForce::of(&forwarder) != before;
         drop(forwarder);
         self.ask_for_part(next);
--- a/components/forwarding-shell/src/whole.rs
+++ b/components/forwarding-shell/src/whole.rs
@@ -139,7 +139,8 @@
         note_silent(gateway, &running.call, job);
         running.tried.push(job.backend.clone());
     }
-    can_go_elsewhere(gateway, running, false) && go_on_beside(gateway, running, Progress::keep)
+    can_go_elsewhere(gateway, running, false)
+        && go_on_beside(gateway, running, Progress::note_silent)
 }
 
 /// Has others do the work beside a back end that is silent: whoever answers first
--- a/components/forwarding/src/admission.rs
+++ b/components/forwarding/src/admission.rs
@@ -55,7 +55,7 @@
     pub deadline: Millis,
     /// Whether the caller's time was used in part when it came: it was here
     /// before.
-    pub came_back: bool,
+    pub is_retry: bool,
 }
 
 /// The decision on one request.
@@ -86,7 +86,7 @@
 /// Who comes back finds this part of the objective used by others.
 const LEFT_FOR_RETURN: f64 = 0.5;
 /// Shortest time after which a caller may come again.
-pub const SHORTEST_RETRY: Millis = Millis(50);
+pub const MIN_RETRY_AFTER: Millis = Millis(50);
 
 /// Decides on a request whose first event is useful within `objective`.
 pub(crate) fn admit(prediction: &Prediction, objective: Millis, arrival: &Arrival) -> Admission {
@@ -99,13 +99,13 @@
     let deferred_ms = prediction.alone_ms + prediction.all_queued_ms + prediction.place_ms;
     let is_hopeless = deferred_ms > arrival.remaining.0 as f64;
     let waits_for_place = prediction.place_ms > objective_ms * SHORT_WAIT;
-    if !is_hopeless && (arrival.came_back || !waits_for_place) {
+    if !is_hopeless && (arrival.is_retry || !waits_for_place) {
         return Admission::Defer;
     }
     let excess_ms = in_time_ms + prediction.returns_ms - objective_ms * LEFT_FOR_RETURN;
     let longest = Millis((arrival.deadline.0 as f64 * LONGEST_RETRY) as u64);
     Admission::Refuse {
-        retry_after: Millis(excess_ms as u64).min(longest).max(SHORTEST_RETRY),
+        retry_after: Millis(excess_ms as u64).min(longest).max(MIN_RETRY_AFTER),
         predicted: Millis(deferred_ms as u64),
     }
 }
--- a/components/forwarding/src/attempts.rs
+++ b/components/forwarding/src/attempts.rs
@@ -67,7 +67,7 @@
     /// Attempts that did not reach their back end.
     pub unreachable: u32,
     /// Attempts whose back end is silent, and which are kept beside the next one.
-    pub kept: u32,
+    pub silent: u32,
 }
 
 impl Progress {
@@ -81,24 +81,24 @@
     }
 
     /// Notes that a back end is silent and another one is asked beside it.
-    pub fn keep(&mut self) {
-        self.kept += 1;
+    pub fn note_silent(&mut self) {
+        self.silent += 1;
     }
 
     /// Notes that a back end that was kept is the one to answer again.
-    pub fn resumed_kept(&mut self) {
-        self.kept = self.kept.saturating_sub(1);
+    pub fn silent_resumed(&mut self) {
+        self.silent = self.silent.saturating_sub(1);
     }
 
     /// Notes that a back end that was kept is out of it.
-    pub fn left_kept(&mut self) {
-        self.resumed_kept();
+    pub fn silent_ended(&mut self) {
+        self.silent_resumed();
         self.ran += 1;
     }
 
     /// Whether the request surely has not run.
     pub fn surely_not_run(&self) -> bool {
-        self.ran == 0 && self.kept == 0
+        self.ran == 0 && self.silent == 0
     }
 
     /// What giving the request up means now.
@@ -112,7 +112,7 @@
 
     /// Whether another arrival would be a repeat.
     pub fn has_arrived(&self) -> bool {
-        self.ran + self.rejected + self.kept > 0
+        self.ran + self.rejected + self.silent > 0
     }
 }
 
@@ -146,7 +146,7 @@
 pub fn next_move(work: &Work, progress: &Progress, end: AttemptEnd) -> NextMove {
     let repeat = progress.has_arrived();
     let may_go_on = progress.surely_not_run() || work.kind.may_repeat();
-    let bounded = progress.ran + progress.kept < work.max_attempts
+    let bounded = progress.ran + progress.silent < work.max_attempts
         && progress.rejected < MOST_REJECTIONS
         && progress.unreachable < MOST_UNREACHABLE;
     if may_go_on && bounded {
--- a/components/forwarding/src/backends.rs
+++ b/components/forwarding/src/backends.rs
@@ -67,13 +67,13 @@
     }
 
     /// Of these, what the leader told of other gateways.
-    pub(crate) fn others_ahead_of(&self, rank: u8, now: Millis) -> u64 {
+    pub(crate) fn peer_tokens_ahead_of(&self, rank: u8, now: Millis) -> u64 {
         self.others.uncached(now).ahead_of(rank)
     }
 
     /// Time since the leader told of other gateways.
-    pub(crate) fn heard_ago(&self, now: Millis) -> Millis {
-        self.others.heard_ago(now)
+    pub(crate) fn peer_load_age(&self, now: Millis) -> Millis {
+        self.others.age(now)
     }
 
     /// Tokens of KV cache that requests under way hold, as far as known.
@@ -82,7 +82,7 @@
     }
 
     /// Own work under way at `backend`, to be told to the other gateways.
-    pub fn own(&self, backend: &BackendId) -> Option<Backlog> {
+    pub fn own_backlog(&self, backend: &BackendId) -> Option<Backlog> {
         let any = self.own.total() > 0 || self.own_uncached.total() > 0;
         any.then(|| Backlog {
             backend: backend.clone(),
@@ -101,7 +101,7 @@
     }
 
     /// Notes that the prompt of a request was prefilled.
-    pub fn read(&mut self, rank: u8, uncached_tokens: u64) {
+    pub fn prefilled(&mut self, rank: u8, uncached_tokens: u64) {
         self.own_uncached.remove(rank, uncached_tokens);
     }
 
@@ -121,7 +121,7 @@
     }
 
     /// Own requests under way, by rank.
-    pub fn own_by_rank(&self) -> ByRank {
+    pub fn own_by_priority(&self) -> ByRank {
         self.own
     }
 
@@ -135,7 +135,7 @@
     }
 
     /// What the other gateways have under way.
-    pub(crate) fn others_mut(&mut self) -> &mut Others {
+    pub(crate) fn peers_mut(&mut self) -> &mut Others {
         &mut self.others
     }
 
@@ -236,7 +236,7 @@
 
     /// Whether this gateway has a connection for one more request.
     pub(crate) fn has_connection(&self) -> bool {
-        self.load.own_by_rank().total() < self.connections.in_use
+        self.load.own_by_priority().total() < self.connections.in_use
     }
 
     /// Whether it is an engine that generates.
--- a/components/forwarding/src/forwarder/admitting.rs
+++ b/components/forwarding/src/forwarder/admitting.rs
@@ -6,7 +6,7 @@
 use crate::admission::{Admission, Arrival, Prediction, admit};
 use crate::backends::Backend;
 use crate::pace::{PrefillPace, TokenTime};
-use crate::placement::{Placement, Preference};
+use crate::placement::{Placement, PlacementContext};
 use crate::work::{Prompt, Work};
 
 use super::{Forwarder, Learned};
@@ -30,9 +30,9 @@
         if admission == Admission::Admit {
             return Some((placement, admission));
         }
-        let anywhere = Preference {
+        let anywhere = PlacementContext {
             anywhere: true,
-            ..self.preference(&[], now)
+            ..self.context(&[], now)
         };
         if self.may_compare_all(service)
             && let Some(other) = self.place_by(service, work, &anywhere)
@@ -41,7 +41,7 @@
             return Some((other, Admission::Admit));
         }
         if let Admission::Refuse { retry_after, .. } = admission
-            && !arrival.came_back
+            && !arrival.is_retry
         {
             let learned = self.learned.entry(service.clone()).or_default();
             learned.returns.told(now + retry_after, now);
@@ -58,11 +58,11 @@
         arrival: &Arrival,
         now: Millis,
     ) -> Option<(Placement, Admission)> {
-        let preference = Preference {
+        let context = PlacementContext {
             despite_connections: true,
-            ..self.preference(&[], now)
+            ..self.context(&[], now)
         };
-        let placement = self.place_by(service, work, &preference)?;
+        let placement = self.place_by(service, work, &context)?;
         let admission = self.admission(service, work, &placement, arrival, now);
         matches!(admission, Admission::Refuse { .. }).then_some((placement, admission))
     }
@@ -98,7 +98,7 @@
             } => (prefill_engine, copy_from.as_ref()),
         };
         let uncached = self.uncached_tokens(engine, prompt, source, now);
-        let ahead = self.queued_tokens(engine, work.rank(uncached), now);
+        let ahead = self.queued_tokens(engine, work.engine_priority(uncached), now);
         let queued = self.queued_tokens(engine, LAST_RANK, now);
         let pace = self.pace_of(engine);
         let alone_ms = pace.expected_ms(uncached);
@@ -176,7 +176,7 @@
         let with_work = with_work.filter_map(|id| self.backends.get(id));
         let of_service = with_work.filter(|backend| backend.registration.service == *service);
         for backend in of_service.filter(|backend| backend.generates()) {
-            own += backend.load.own_by_rank();
+            own += backend.load.own_by_priority();
         }
         match own.total() {
             0 => 1.0,
@@ -228,7 +228,7 @@
     }
 
     /// Notes how long a request kept its place at an engine that generates.
-    pub fn note_place(&mut self, id: &BackendId, prompt: &Prompt, kept: Millis) {
+    pub fn note_slot_time(&mut self, id: &BackendId, prompt: &Prompt, kept: Millis) {
         if let Some(learned) = self.learned_at(id) {
             learned.token_time.note(prompt.likely_output(), kept);
         }
--- a/components/forwarding/src/forwarder/availability.rs
+++ b/components/forwarding/src/forwarder/availability.rs
@@ -61,7 +61,7 @@
     }
 
     /// How long an engine keeps a KV cache that nobody takes.
-    pub fn cache_kept(&self, id: &BackendId) -> Millis {
+    pub fn unclaimed_cache_lifetime(&self, id: &BackendId) -> Millis {
         let service = self.backends.get(id).map(|b| &b.registration.service);
         let table = self.configuration.routes.as_ref();
         let limits = service.and_then(|service| table?.engine_limits(service));
--- a/components/forwarding/src/forwarder/beliefs.rs
+++ b/components/forwarding/src/forwarder/beliefs.rs
@@ -20,9 +20,9 @@
     /// Of others, which were there before.
     pub queued: u64,
     /// Of these, what the leader told of other gateways.
-    pub queued_by_others: u64,
+    pub queued_by_peers: u64,
     /// Age of the leader's word then.
-    pub heard_ago: Millis,
+    pub peer_load_age: Millis,
 }
 
 impl Forwarder {
@@ -56,8 +56,8 @@
         let Some(backend) = self.backends.get_mut(id) else {
             return PrefillWork::default();
         };
-        let queued_by_others = backend.load.others_ahead_of(rank, now);
-        let heard_ago = backend.load.heard_ago(now);
+        let queued_by_peers = backend.load.peer_tokens_ahead_of(rank, now);
+        let peer_load_age = backend.load.peer_load_age(now);
         backend.breaker.sent();
         self.limits.sent(id, now);
         self.with_own_work.insert(id.clone());
@@ -72,8 +72,8 @@
         PrefillWork {
             uncached,
             queued,
-            queued_by_others,
-            heard_ago,
+            queued_by_peers,
+            peer_load_age,
         }
     }
 
@@ -95,7 +95,7 @@
     }
 
     /// Notes a request that goes on from a KV cache at a back end.
-    pub fn handed_over(&mut self, id: &BackendId, prompt: &Prompt, rank: u8, now: Millis) {
+    pub fn sent_for_decode(&mut self, id: &BackendId, prompt: &Prompt, rank: u8, now: Millis) {
         if let Some(backend) = self.backends.get_mut(id) {
             backend.breaker.sent();
             backend.load.sent(rank, 0, Some(prompt));
@@ -126,18 +126,18 @@
     }
 
     /// Notes that a prompt was prefilled.
-    pub fn read(&mut self, id: &BackendId, rank: u8, uncached: u64) {
+    pub fn prefilled(&mut self, id: &BackendId, rank: u8, uncached: u64) {
         if let Some(backend) = self.backends.get_mut(id) {
-            backend.load.read(rank, uncached);
+            backend.load.prefilled(rank, uncached);
         }
     }
 
     /// Notes that an engine holds a prompt: it has read it, or took it over.
-    pub fn holds(&mut self, id: &BackendId, prompt: &Prompt, now: Millis) {
+    pub fn note_cached(&mut self, id: &BackendId, prompt: &Prompt, now: Millis) {
         let Some(residency) = self.cache_of(id) else {
             return;
         };
-        let news = residency.note_read(prompt, now);
+        let news = residency.note_prefilled(prompt, now);
         let room = MOST_NEWS.saturating_sub(self.news.len());
         let copy = |prefix| PromptCopy {
             prefix,
--- a/components/forwarding/src/forwarder/configuration.rs
+++ b/components/forwarding/src/forwarder/configuration.rs
@@ -21,12 +21,16 @@
 impl Forwarder {
     /// Notes that the leader has the whole configuration in parts, as it stood at
     /// this index. Gives the part to ask for, where none is under way.
-    pub fn offered_parts(&mut self, index: u64, now: Millis) -> Option<PartRequest> {
+    pub fn on_parts_offered(&mut self, index: u64, now: Millis) -> Option<PartRequest> {
         self.loader.offered(index, now)
     }
 
     /// Takes a part of the whole configuration. Gives the next one to ask for.
-    pub fn take_part(&mut self, part: ConfigurationPart, now: Millis) -> Option<PartRequest> {
+    pub fn take_configuration_part(
+        &mut self,
+        part: ConfigurationPart,
+        now: Millis,
+    ) -> Option<PartRequest> {
         match self.loader.take(part, now) {
             TakenPart::Next(next) => return Some(next),
             TakenPart::Whole(whole) => self.take_whole(whole),
@@ -38,7 +42,7 @@
     /// Notes that the connection to the leader is another one, of this version.
     pub fn connected(&mut self, version: EncodingVersion) {
         self.loader.connected();
-        self.tell_runs_anew();
+        self.resend_runs();
         self.limits.connected();
         self.set_permits_given(version >= EncodingVersion::V16);
     }
@@ -155,7 +159,7 @@
     fn apply_backends(&mut self, changed: &[BackendId]) {
         let mut members_changed = false;
         for id in changed {
-            self.records_followed += 1;
+            self.records_applied += 1;
             let record = self.configuration.backends.get(id);
             match (record, self.backends.get_mut(id)) {
                 (Some(record), Some(backend)) => {
@@ -192,7 +196,7 @@
 
     /// Records of back ends that were followed so far: what changes of the
     /// configuration cost.
-    pub fn records_followed(&self) -> u64 {
-        self.records_followed
+    pub fn records_applied(&self) -> u64 {
+        self.records_applied
     }
 }
--- a/components/forwarding/src/forwarder/fleet.rs
+++ b/components/forwarding/src/forwarder/fleet.rs
@@ -32,7 +32,7 @@
 
 /// What is told to the other gateways through the leader.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct FleetReport {
+pub struct GatewayReport {
     /// Own work under way.
     pub backlogs: Vec<Backlog>,
     /// How own requests ended since the last report.
@@ -68,9 +68,13 @@
 
 impl Forwarder {
     /// The report that is sent to the leader now.
-    pub fn report(&mut self, now: Millis) -> FleetReport {
+    pub fn report(&mut self, now: Millis) -> GatewayReport {
         let backends = &self.backends;
-        let own = |id: &BackendId| backends.get(id).and_then(|backend| backend.load.own(id));
+        let own = |id: &BackendId| {
+            backends
+                .get(id)
+                .and_then(|backend| backend.load.own_backlog(id))
+        };
         self.with_own_work.retain(|id| own(id).is_some());
         let backlogs: Vec<Backlog> = self.with_own_work.iter().filter_map(own).collect();
         let reporting = &mut self.reporting;
@@ -79,7 +83,7 @@
         }
         reporting.sent.push_back((now, backlogs.clone()));
         let evidence = std::mem::take(&mut reporting.evidence);
-        FleetReport {
+        GatewayReport {
             backlogs,
             evidence: evidence.into_values().collect(),
             copies: std::mem::take(&mut self.news),
@@ -123,7 +127,7 @@
     ) -> Option<Likes> {
         self.note_failing(id, is_failing, now);
         let backend = self.backends.get_mut(id)?;
-        backend.load.others_mut().heard(there);
+        backend.load.peers_mut().heard(there);
         Some(likes(backend))
     }
 
@@ -217,7 +221,7 @@
 
     /// Takes the leader's news of copies. Those about other back ends than are
     /// known here are left aside.
-    pub fn take_copy_news(&mut self, news: &CopyNews, now: Millis) {
+    pub fn take_copy_updates(&mut self, news: &CopyNews, now: Millis) {
         if news.copies.is_empty() || news.members != self.likes.members() {
             return;
         }
@@ -235,7 +239,7 @@
         for copy in copies {
             // One that is not known yet is told of again later.
             if let Some(residency) = self.cache_of(&copy.backend) {
-                residency.note_told(copy.prefix, now);
+                residency.note_reported(copy.prefix, now);
             }
         }
     }
--- a/components/forwarding/src/forwarder/limits.rs
+++ b/components/forwarding/src/forwarder/limits.rs
@@ -165,7 +165,7 @@
     }
 
     /// Takes the leader's answer to a question for a permit.
-    pub fn permit_answered(&mut self, answer: &PermitAnswer, now: Millis) {
+    pub fn on_permit_answer(&mut self, answer: &PermitAnswer, now: Millis) {
         self.limits.answered(answer, now);
     }
 }
--- a/components/forwarding/src/forwarder/mod.rs
+++ b/components/forwarding/src/forwarder/mod.rs
@@ -10,7 +10,7 @@
 mod quarantine;
 
 pub use beliefs::PrefillWork;
-pub use fleet::FleetReport;
+pub use fleet::GatewayReport;
 pub use limits::ReportedLimit;
 
 use fleet::{BeliefsAge, Reporting};
@@ -32,10 +32,10 @@
 use crate::output_length::OutputLength;
 use crate::pace::{PrefillPace, TokenTime};
 use crate::placement::{
-    EngineView, Placement, Preference, place_application, place_decode, place_engines,
+    EngineView, Placement, PlacementContext, place_application, place_decode, place_engines,
 };
 use crate::residency::Residency;
-use crate::share::{BudgetShare, ServiceBudget};
+use crate::share::{ServiceBudget, SharedRetryBudget};
 use crate::work::Work;
 
 /// Draws that go on by this part of one are spread evenly at any count.
@@ -51,7 +51,7 @@
     /// Zone of the gateway.
     pub zone: String,
     /// Repeats that all gateways together may send a service.
-    pub budget: BudgetShare,
+    pub budget: SharedRetryBudget,
     /// Where the draws of split routes begin, between 0 and 1.
     pub first_draw: f64,
 }
@@ -81,7 +81,7 @@
     /// Back ends that this gateway may have work at.
     with_own_work: BTreeSet<BackendId>,
     /// Records of back ends that were followed so far.
-    records_followed: u64,
+    records_applied: u64,
     /// Back ends that the leader's newest digest names.
     heard_of: Vec<BackendId>,
     residency: BTreeMap<BackendId, Residency>,
@@ -130,7 +130,7 @@
             backends: BTreeMap::new(),
             likes: KnownLikes::default(),
             with_own_work: BTreeSet::new(),
-            records_followed: 0,
+            records_applied: 0,
             heard_of: Vec::new(),
             residency: BTreeMap::new(),
             budgets: HashMap::new(),
@@ -197,22 +197,22 @@
         now: Millis,
     ) -> Option<Placement> {
         self.drawn += 1;
-        let preference = Preference {
+        let context = PlacementContext {
             may_hand_over,
-            ..self.preference(tried, now)
+            ..self.context(tried, now)
         };
         // A back end that failed lately is better than none.
-        self.place_by(service, work, &preference).or_else(|| {
-            let preference = Preference {
+        self.place_by(service, work, &context).or_else(|| {
+            let context = PlacementContext {
                 despite_failures: true,
-                ..preference
+                ..context
             };
-            self.place_by(service, work, &preference)
+            self.place_by(service, work, &context)
         })
     }
 
-    fn preference<'a>(&'a self, tried: &'a [BackendId], now: Millis) -> Preference<'a> {
-        Preference {
+    fn context<'a>(&'a self, tried: &'a [BackendId], now: Millis) -> PlacementContext<'a> {
+        PlacementContext {
             zone: &self.settings.zone,
             limits: &self.limits,
             now,
@@ -230,21 +230,21 @@
         &self,
         service: &ServiceId,
         work: &Work,
-        preference: &Preference<'_>,
+        context: &PlacementContext<'_>,
     ) -> Option<Placement> {
         let of_service = self.backends_of(service);
         let Some(prompt) = &work.prompt else {
-            return place_application(of_service, preference).map(Placement::One);
+            return place_application(of_service, context).map(Placement::One);
         };
         let engines = of_service.filter(|backend| backend.registration.kind == BackendKind::Engine);
         let engines = self.views(engines);
-        let preference = Preference {
+        let context = PlacementContext {
             sampled: self.engines_to_sample(service),
             // Gateways that start together count alike.
-            draw: preference.draw.wrapping_add(self.seed),
-            ..*preference
+            draw: context.draw.wrapping_add(self.seed),
+            ..*context
         };
-        place_engines(&engines, prompt, &preference)
+        place_engines(&engines, prompt, &context)
     }
 
     /// Who generates from the KV cache that `prefill_engine` made, as things stand now.
@@ -258,11 +258,11 @@
         self.drawn += 1;
         let zone = &self.backends.get(prefill_engine)?.registration.zone;
         let find = |despite_failures| {
-            let preference = Preference {
+            let context = PlacementContext {
                 despite_failures,
-                ..self.preference(tried, now)
+                ..self.context(tried, now)
             };
-            place_decode(self.backends_of(service), zone, &preference)
+            place_decode(self.backends_of(service), zone, &context)
         };
         find(false).or_else(|| find(true))
     }
--- a/components/forwarding/src/forwarder/quarantine.rs
+++ b/components/forwarding/src/forwarder/quarantine.rs
@@ -15,7 +15,7 @@
 
 impl Forwarder {
     /// Whether nothing is known of any request, so that none need be looked up.
-    pub fn suspects_nobody(&self) -> bool {
+    pub fn has_no_suspects(&self) -> bool {
         self.crash_log.is_empty() && self.configuration.quarantine.is_empty()
     }
 
@@ -53,12 +53,12 @@
     }
 
     /// The leader has taken the runs up to this number.
-    pub fn runs_noted(&mut self, through: u64) {
+    pub fn runs_confirmed(&mut self, through: u64) {
         self.crash_log.confirmed(through);
     }
 
     /// Another leader may have been found.
-    pub fn tell_runs_anew(&mut self) {
+    pub fn resend_runs(&mut self) {
         self.crash_log.tell_anew();
     }
 
@@ -69,7 +69,7 @@
 
     /// Back ends that a suspected request leaves to the others: all but its
     /// own one of those that are open.
-    pub fn not_its_own(
+    pub fn excluded_for_suspect(
         &self,
         service: &ServiceId,
         fingerprint: RequestFingerprint,
--- a/components/forwarding/src/lib.rs
+++ b/components/forwarding/src/lib.rs
@@ -26,18 +26,18 @@
 mod work;
 
 pub use access::{AccessDenied, Credential};
-pub use admission::{Admission, Arrival, SHORTEST_RETRY};
+pub use admission::{Admission, Arrival, MIN_RETRY_AFTER};
 pub use attempts::{AttemptEnd, GivenUp, NextMove, NotRunReason, Progress, next_move};
 pub use backends::{Backend, BackendLoad, LoadReport};
 pub use connections::ConnectionShare;
 pub use forwarder::{
-    FleetReport, Forwarder, ForwarderSettings, PrefillWork, ReportedLimit, RouteChoice,
+    Forwarder, ForwarderSettings, GatewayReport, PrefillWork, ReportedLimit, RouteChoice,
 };
 pub use garnet_routing::{Probe, RetryAfter, RetryAfterError};
 pub use pace::{PrefillPace, TokenTime};
-pub use placement::{Placement, Preference};
+pub use placement::{Placement, PlacementContext};
 pub use residency::Residency;
-pub use share::BudgetShare;
+pub use share::SharedRetryBudget;
 pub use silence::SilenceLimits;
 pub use usage::UsageMeter;
 pub use work::{Prefix, Prompt, PromptPart, Work};
--- a/components/forwarding/src/likes.rs
+++ b/components/forwarding/src/likes.rs
@@ -69,7 +69,7 @@
     fn join(&mut self, backend: &mut Backend) {
         let alike = self.alike.entry(likes(backend)).or_default();
         alike.count += 1;
-        backend.load.others_mut().join(&alike.belief);
+        backend.load.peers_mut().join(&alike.belief);
     }
 
     /// Names all back ends in their order.
--- a/components/forwarding/src/others.rs
+++ b/components/forwarding/src/others.rs
@@ -99,7 +99,7 @@
     }
 
     /// Time since the leader told it.
-    pub(crate) fn heard_ago(&self, now: Millis) -> Millis {
+    pub(crate) fn age(&self, now: Millis) -> Millis {
         now.since(self.alike.borrow().heard_at)
     }
 
--- a/components/forwarding/src/output_length.rs
+++ b/components/forwarding/src/output_length.rs
@@ -12,12 +12,14 @@
 /// The part of the most that is likely, learned from guesses.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct OutputLength {
-    likely_part: f64,
+    likely_fraction: f64,
 }
 
 impl Default for OutputLength {
     fn default() -> Self {
-        OutputLength { likely_part: 1.0 }
+        OutputLength {
+            likely_fraction: 1.0,
+        }
     }
 }
 
@@ -32,10 +34,10 @@
         match prompt.likely_output_tokens {
             Some(guess) => {
                 let part = guess.min(most) as f64 / most as f64;
-                self.likely_part += NEWEST * (part - self.likely_part);
+                self.likely_fraction += NEWEST * (part - self.likely_fraction);
             }
             None => {
-                let likely = most as f64 * self.likely_part;
+                let likely = most as f64 * self.likely_fraction;
                 prompt.likely_output_tokens = Some(likely.round() as u64);
             }
         }
--- a/components/forwarding/src/placement.rs
+++ b/components/forwarding/src/placement.rs
@@ -39,7 +39,7 @@
 
 /// Who looks for a back end.
 #[derive(Debug, Clone, Copy)]
-pub struct Preference<'a> {
+pub struct PlacementContext<'a> {
     /// Zone of the gateway.
     pub zone: &'a str,
     /// What back ends take, and permits for them.
@@ -63,7 +63,7 @@
     pub draw: u64,
 }
 
-impl Preference<'_> {
+impl PlacementContext<'_> {
     fn may_take(&self, backend: &Backend) -> bool {
         let id = &backend.registration.id;
         backend.is_open(self.now, self.despite_failures)
@@ -91,16 +91,16 @@
 /// An instance of an application: the least requests, the own zone first.
 pub fn place_application<'a>(
     backends: impl Iterator<Item = &'a Backend>,
-    preference: &Preference<'_>,
+    context: &PlacementContext<'_>,
 ) -> Option<BackendId> {
     let cost = |backend: &&Backend| {
-        let requests = backend.load.requests(preference.now);
-        let away = u64::from(!preference.is_local(backend)) * ZONE_ADVANTAGE;
+        let requests = backend.load.requests(context.now);
+        let away = u64::from(!context.is_local(backend)) * ZONE_ADVANTAGE;
         let id = backend.registration.id.as_str().as_bytes();
-        let draw = xxh3_64_with_seed(id, preference.draw);
-        (!preference.is_due(backend), requests + away, draw)
+        let draw = xxh3_64_with_seed(id, context.draw);
+        (!context.is_due(backend), requests + away, draw)
     };
-    let open = backends.filter(|backend| preference.may_take(backend));
+    let open = backends.filter(|backend| context.may_take(backend));
     Some(open.min_by_key(cost)?.registration.id.clone())
 }
 
@@ -125,36 +125,34 @@
 pub fn place_engines(
     engines: &[EngineView<'_>],
     prompt: &Prompt,
-    preference: &Preference<'_>,
+    context: &PlacementContext<'_>,
 ) -> Option<Placement> {
     let open: Vec<&EngineView<'_>> = engines
         .iter()
-        .filter(|engine| preference.may_take(engine.backend))
+        .filter(|engine| context.may_take(engine.backend))
         .collect();
     let with_role = |wanted: EngineRole| -> Vec<&EngineView<'_>> {
         let matches = |engine: &&&EngineView<'_>| engine.backend.role == Some(wanted);
         let all: Vec<&EngineView<'_>> = open.iter().filter(matches).copied().collect();
-        let due = all
-            .iter()
-            .filter(|engine| preference.is_due(engine.backend));
+        let due = all.iter().filter(|engine| context.is_due(engine.backend));
         let due: Vec<&EngineView<'_>> = due.copied().collect();
         if due.is_empty() { all } else { due }
     };
     let mixed = with_role(EngineRole::Mixed);
-    let may_hand_over = preference.may_hand_over
+    let may_hand_over = context.may_hand_over
         && open
             .iter()
-            .any(|engine| engine.backend.generates() && preference.is_unlimited(engine.backend));
+            .any(|engine| engine.backend.generates() && context.is_unlimited(engine.backend));
     let prefill_engines = if may_hand_over {
         with_role(EngineRole::Prefill)
     } else {
         Vec::new()
     };
     let search = Search {
-        anywhere: preference.anywhere,
-        sampled: preference.sampled,
-        draw: preference.draw,
-        now: preference.now,
+        anywhere: context.anywhere,
+        sampled: context.sampled,
+        draw: context.draw,
+        now: context.now,
     };
     let single = cheapest_prefill(&mixed, &[], prompt, search);
     let handover = cheapest_prefill(&prefill_engines, &open, prompt, search);
@@ -182,18 +180,18 @@
 pub fn place_decode<'a>(
     engines: impl Iterator<Item = &'a Backend>,
     prefill_zone: &str,
-    preference: &Preference<'_>,
+    context: &PlacementContext<'_>,
 ) -> Option<BackendId> {
     let cost = |backend: &&Backend| {
         let away = u64::from(backend.registration.zone != prefill_zone);
         let id = backend.registration.id.as_str().as_bytes();
-        let held = backend.load.held_tokens(preference.now);
+        let held = backend.load.held_tokens(context.now);
         let cost = held + away * MOVE_BETWEEN_ZONES;
-        let draw = xxh3_64_with_seed(id, preference.draw);
-        (!preference.is_due(backend), cost, draw)
+        let draw = xxh3_64_with_seed(id, context.draw);
+        (!context.is_due(backend), cost, draw)
     };
     let decode_engines = engines
         .filter(|backend| backend.generates())
-        .filter(|backend| preference.may_take(backend));
+        .filter(|backend| context.may_take(backend));
     Some(decode_engines.min_by_key(cost)?.registration.id.clone())
 }
--- a/components/forwarding/src/residency.rs
+++ b/components/forwarding/src/residency.rs
@@ -46,7 +46,7 @@
 
     /// Notes that the engine holds the whole prompt now. Gives the shared
     /// prefixes that the other gateways should hear of.
-    pub fn note_read(&mut self, prompt: &Prompt, now: Millis) -> Vec<PrefixId> {
+    pub fn note_prefilled(&mut self, prompt: &Prompt, now: Millis) -> Vec<PrefixId> {
         let prefixes = prompt.prefixes();
         let shared = prefixes.len().saturating_sub(1);
         let mut news = Vec::new();
@@ -65,7 +65,7 @@
     }
 
     /// Notes what another gateway told.
-    pub fn note_told(&mut self, prefix: PrefixId, now: Millis) {
+    pub fn note_reported(&mut self, prefix: PrefixId, now: Millis) {
         let belief = self.note(prefix, now);
         belief.is_read = true;
         belief.told_at = Some(now);
--- a/components/forwarding/src/share.rs
+++ b/components/forwarding/src/share.rs
@@ -14,7 +14,7 @@
 
 /// What the operators allow all gateways together.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct BudgetShare {
+pub struct SharedRetryBudget {
     /// Repeats for each request.
     pub per_request: f64,
     /// Repeats on top in one window.
@@ -57,12 +57,12 @@
     }
 
     /// Notes a first attempt.
-    pub(crate) fn earn(&mut self, share: &BudgetShare, now: Millis) {
+    pub(crate) fn earn(&mut self, share: &SharedRetryBudget, now: Millis) {
         self.present_slot(share, now).requests += 1;
     }
 
     /// Takes one repeat; `false` when none is left.
-    pub(crate) fn spend(&mut self, share: &BudgetShare, gateways: u64, now: Millis) -> bool {
+    pub(crate) fn spend(&mut self, share: &SharedRetryBudget, gateways: u64, now: Millis) -> bool {
         let allowed = self.has_left(share, gateways, now);
         if allowed {
             self.present_slot(share, now).repeats += 1;
@@ -71,13 +71,18 @@
     }
 
     /// Whether a repeat is left.
-    pub(crate) fn has_left(&mut self, share: &BudgetShare, gateways: u64, now: Millis) -> bool {
+    pub(crate) fn has_left(
+        &mut self,
+        share: &SharedRetryBudget,
+        gateways: u64,
+        now: Millis,
+    ) -> bool {
         self.present_slot(share, now);
         let spent: u64 = self.slots.iter().map(|slot| slot.repeats).sum();
         spent as f64 + 1.0 <= self.allowance(share, gateways, now)
     }
 
-    fn allowance(&self, share: &BudgetShare, gateways: u64, now: Millis) -> f64 {
+    fn allowance(&self, share: &SharedRetryBudget, gateways: u64, now: Millis) -> f64 {
         let present = slot_number(share, now);
         // The oldest slot lies in the window in part: its repeats count, its
         // requests do not.
@@ -93,7 +98,7 @@
         SAFE_PART * (share.per_request * requests as f64 + extra)
     }
 
-    fn present_slot(&mut self, share: &BudgetShare, now: Millis) -> &mut Slot {
+    fn present_slot(&mut self, share: &SharedRetryBudget, now: Millis) -> &mut Slot {
         let number = slot_number(share, now);
         let is_over = |slot: &Slot| slot.number + SLOTS < number;
         while self.slots.front().is_some_and(is_over) {
@@ -112,6 +117,6 @@
     }
 }
 
-fn slot_number(share: &BudgetShare, now: Millis) -> u64 {
+fn slot_number(share: &SharedRetryBudget, now: Millis) -> u64 {
     now.0 * SLOTS / share.window.0.max(1)
 }
--- a/components/forwarding/src/usage.rs
+++ b/components/forwarding/src/usage.rs
@@ -53,7 +53,7 @@
     }
 
     /// Whether there is anything that is not known to stand in the log.
-    pub fn has_news(&self) -> bool {
+    pub fn has_unlogged(&self) -> bool {
         self.counts.values().any(Count::is_news)
     }
 
--- a/components/forwarding/src/work.rs
+++ b/components/forwarding/src/work.rs
@@ -52,8 +52,8 @@
         if self.kind.may_repeat() {
             return false;
         }
-        let likely_part = self.prompt.as_ref().map_or(0.0, Prompt::likely_part);
-        remaining.0 as f64 * likely_part > left.0 as f64
+        let likely_fraction = self.prompt.as_ref().map_or(0.0, Prompt::likely_fraction);
+        remaining.0 as f64 * likely_fraction > left.0 as f64
     }
 
     /// Rank among the work of its service, 0 first: each doubling of the prompt
@@ -63,7 +63,7 @@
     ///
     /// Deferred work comes last: it would be late anyway, and makes nobody else
     /// late.
-    pub fn rank(&self, uncached_tokens: u64) -> u8 {
+    pub fn engine_priority(&self, uncached_tokens: u64) -> u8 {
         if self.is_deferred {
             return LAST_RANK;
         }
@@ -100,7 +100,7 @@
     }
 
     /// The part of the most output that will probably come.
-    pub fn likely_part(&self) -> f64 {
+    pub fn likely_fraction(&self) -> f64 {
         self.likely_output() as f64 / self.output_tokens.max(1) as f64
     }
 
--- a/components/forwarding/tests/core/admission.rs
+++ b/components/forwarding/tests/core/admission.rs
@@ -67,12 +67,12 @@
     }
 }
 
-fn arrival(came_back: bool) -> Arrival {
+fn arrival(is_retry: bool) -> Arrival {
     Arrival {
         waited: Millis::ZERO,
         remaining: Millis(2_000),
         deadline: Millis(2_000),
-        came_back,
+        is_retry,
     }
 }
 
@@ -80,8 +80,8 @@
     work(WorkKind::Stream, Some(prompt))
 }
 
-fn decide(gateway: &mut Forwarder, work: &Work, came_back: bool) -> Admission {
-    let placed = gateway.place_new(&words(), work, &arrival(came_back), NOW);
+fn decide(gateway: &mut Forwarder, work: &Work, is_retry: bool) -> Admission {
+    let placed = gateway.place_new(&words(), work, &arrival(is_retry), NOW);
     placed.expect("an engine").1
 }
 
@@ -146,8 +146,8 @@
         output_tokens: 4_000,
         ..prompt(3, 4, 100)
     };
-    gateway.note_place(&decode_engine(), &chat, Millis(4_000));
-    gateway.handed_over(&decode_engine(), &chat, 1, NOW);
+    gateway.note_slot_time(&decode_engine(), &chat, Millis(4_000));
+    gateway.sent_for_decode(&decode_engine(), &chat, 1, NOW);
     let others = backlog(decode_engine(), requests - 1, ByRank::default());
     hear(&mut gateway, &[others]);
     gateway
@@ -184,7 +184,7 @@
         requests in 0_u64..10_000,
         tokens in 1_u64..1_000_000,
         remaining in 1_u64..20_000,
-        came_back: bool,
+        is_retry: bool,
     ) {
         let mut gateway = gateway();
         let others = [
@@ -196,7 +196,7 @@
             waited: Millis::ZERO,
             remaining: Millis(remaining),
             deadline: Millis(remaining),
-            came_back,
+            is_retry,
         };
         let work = stream(prompt(1, 2, tokens));
         let placed = gateway.place_new(&words(), &work, &arrival, NOW);
--- a/components/forwarding/tests/core/attempts.rs
+++ b/components/forwarding/tests/core/attempts.rs
@@ -93,12 +93,12 @@
         ran,
         ..Progress::default()
     };
-    progress.keep();
+    progress.note_silent();
     let next = next_move(&work(kind, None), &progress, AttemptEnd::Broken);
     assert_eq!(next, expected);
-    progress.resumed_kept();
-    assert_eq!((progress.ran, progress.kept), (ran, 0));
-    progress.keep();
-    progress.left_kept();
-    assert_eq!((progress.ran, progress.kept), (ran + 1, 0));
+    progress.silent_resumed();
+    assert_eq!((progress.ran, progress.silent), (ran, 0));
+    progress.note_silent();
+    progress.silent_ended();
+    assert_eq!((progress.ran, progress.silent), (ran + 1, 0));
 }
--- a/components/forwarding/tests/core/availability.rs
+++ b/components/forwarding/tests/core/availability.rs
@@ -255,15 +255,15 @@
         }
         let underway = prompt(1, 1_001, 20_000);
         for _ in 0..200 {
-            gateway.handed_over(&id("d-1"), &underway, 1, NOW);
+            gateway.sent_for_decode(&id("d-1"), &underway, 1, NOW);
             // Each place is kept for a second.
-            gateway.note_place(&id("d-1"), &underway, Millis(1_000));
+            gateway.note_slot_time(&id("d-1"), &underway, Millis(1_000));
         }
         let arrival = Arrival {
             waited: Millis::ZERO,
             remaining: Millis(2_000),
             deadline: Millis(2_000),
-            came_back: false,
+            is_retry: false,
         };
         let placed = gateway.place_new(&words(), &stream(2), &arrival, NOW);
         placed.map(|(_, admission)| admission)
--- a/components/forwarding/tests/core/configuration.rs
+++ b/components/forwarding/tests/core/configuration.rs
@@ -124,7 +124,7 @@
     let of = |number| record(&format!("i-{number:04}"), "till", "a", None);
     let records: Vec<_> = (0..backends).map(of).collect();
     let mut forwarder = forwarder(&records);
-    let before = forwarder.records_followed();
+    let before = forwarder.records_applied();
     let mut leaving = records[7].clone();
     leaving.machine = MachineState::Leaving;
     forwarder.update(WatchUpdate::Changes {
@@ -132,7 +132,7 @@
         to: 6,
         changes: vec![(6, ConfigurationChange::BackendPut(leaving))].into(),
     });
-    forwarder.records_followed() - before
+    forwarder.records_applied() - before
 }
 
 /// A gateway went through all records, and made them anew, with each change of one of
@@ -151,7 +151,7 @@
     let mut forwarder = forwarder(std::slice::from_ref(&engine));
     let id = BackendId::new("i-1");
     let prompt = prompt(7, 8, 4_000);
-    forwarder.holds(&id, &prompt, NOW);
+    forwarder.note_cached(&id, &prompt, NOW);
     assert!(forwarder.uncached_tokens(&id, &prompt, None, NOW) < prompt.tokens);
     forwarder.gone(&id);
     (0..10).for_each(|_| forwarder.failed(&id, NOW));
--- a/components/forwarding/tests/core/fleet.rs
+++ b/components/forwarding/tests/core/fleet.rs
@@ -6,7 +6,9 @@
     BackendRecord, BackendRegistration, BackendState, Backlog, Configuration, EngineObservation,
     LoadDigest, MembersHash, ToldDigest, UNTOLD_START, WatchUpdate,
 };
-use garnet_forwarding::{BudgetShare, Forwarder, ForwarderSettings, Prompt, PromptPart, Work};
+use garnet_forwarding::{
+    Forwarder, ForwarderSettings, Prompt, PromptPart, SharedRetryBudget, Work,
+};
 use garnet_routes::{EngineLimits, Route, RouteTable, ServiceSettings, WeightedService, WorkKind};
 use garnet_types::{
     BackendId, BackendKind, EngineAssignment, EngineRole, MachineState, Millis, ModelId, ServiceId,
@@ -102,7 +104,7 @@
 pub fn empty_forwarder() -> Forwarder {
     Forwarder::new(ForwarderSettings {
         zone: "a".into(),
-        budget: BudgetShare {
+        budget: SharedRetryBudget {
             per_request: 0.2,
             extra: 50.0,
             window: Millis::from_secs(10),
@@ -145,7 +147,7 @@
 pub fn gateway_of(records: &[BackendRecord], gateways: u64, number: u64) -> Forwarder {
     let mut gateway = Forwarder::new(ForwarderSettings {
         zone: "a".into(),
-        budget: BudgetShare {
+        budget: SharedRetryBudget {
             per_request: 0.2,
             extra: 50.0,
             window: Millis::from_secs(10),
--- a/components/forwarding/tests/core/fleet_view.rs
+++ b/components/forwarding/tests/core/fleet_view.rs
@@ -77,7 +77,7 @@
     gateway.take_digest(&digest(&records, Some(NOW), all), later);
     assert_eq!(uncached(&gateway, &id(0), later), 7_040);
     // It is prefilled here; what others have there is left.
-    gateway.read(&id(0), 0, 6_400);
+    gateway.prefilled(&id(0), 0, 6_400);
     assert_eq!(uncached(&gateway, &id(0), later), 640);
 }
 
@@ -207,7 +207,7 @@
         gateway.note_arrival(&words(), &asked, now);
     }
     let now = NOW + Millis::from_secs(5);
-    gateway.holds(&id(0), &asked, now);
+    gateway.note_cached(&id(0), &asked, now);
     gateway.take_digest(&digest(&records, None, |_| BackendState::default()), now);
     let later = now + Millis::from_secs(2);
     let uncached = gateway.uncached_tokens(&id(0), &asked, None, later);
--- a/components/forwarding/tests/core/limits.rs
+++ b/components/forwarding/tests/core/limits.rs
@@ -51,7 +51,7 @@
         backend: id(name),
         is_due,
     };
-    gateway.permit_answered(&PermitAnswer { number, outcome }, NOW);
+    gateway.on_permit_answer(&PermitAnswer { number, outcome }, NOW);
 }
 
 fn list(gateway: &mut Forwarder, term: u64, names: &[&str]) -> Vec<BackendId> {
@@ -133,7 +133,7 @@
         wait: Millis(300),
         retry_after: Millis(900),
     };
-    gateway.permit_answered(&PermitAnswer { number, outcome }, NOW);
+    gateway.on_permit_answer(&PermitAnswer { number, outcome }, NOW);
     let till = ServiceId::new("till");
     let mut ask = |priority, now| {
         let work = Work { priority, ..call() };
--- a/components/forwarding/tests/core/placement.rs
+++ b/components/forwarding/tests/core/placement.rs
@@ -80,7 +80,7 @@
     assert_ne!(second, owner);
     assert_eq!(from, Some(holder.clone()));
     // What the owner is known to hold itself is not copied.
-    gateway.holds(&owner, &asked, NOW);
+    gateway.note_cached(&owner, &asked, NOW);
     assert_eq!(prefill(&mut gateway, asked, &[]), (owner, None));
 }
 
@@ -103,8 +103,8 @@
     let mut gateway = forwarder(&engines());
     let asked = prompt(7, 1, 20_000);
     let prefill_engine = BackendId::new("r-a");
-    gateway.holds(&prefill_engine, &asked, NOW);
-    gateway.holds(&prefill_engine, &prompt(7, 2, 20_000), NOW);
+    gateway.note_cached(&prefill_engine, &asked, NOW);
+    gateway.note_cached(&prefill_engine, &prompt(7, 2, 20_000), NOW);
     assert_eq!(
         gateway.report(NOW).copies,
         [copy(asked.shared_prefix(), &prefill_engine)]
@@ -112,7 +112,7 @@
     assert_eq!(gateway.report(NOW).copies, []);
     // What another gateway told is known to all.
     gateway.note_copies(&[copy(asked.shared_prefix(), &BackendId::new("r-b"))], NOW);
-    gateway.holds(&BackendId::new("r-b"), &asked, NOW);
+    gateway.note_cached(&BackendId::new("r-b"), &asked, NOW);
     assert_eq!(gateway.report(NOW).copies, []);
 }
 
@@ -197,7 +197,7 @@
     let held = prompt(7, 1, 400);
     let work = work(WorkKind::Stream, Some(held.clone()));
     for id in ["g-a1", "g-a2", "g-b"] {
-        forwarder.holds(&BackendId::new(id), &held, NOW);
+        forwarder.note_cached(&BackendId::new(id), &held, NOW);
     }
     let placed = forwarder.place(&words, &work, &[], true, NOW);
     assert!(matches!(placed, Some(Placement::One(_))), "{placed:?}");
@@ -246,7 +246,7 @@
     let rank = |priority, uncached| {
         let mut work = work(WorkKind::Stream, Some(prompt(1, 2, 40_000)));
         work.priority = priority;
-        work.rank(uncached)
+        work.engine_priority(uncached)
     };
     assert!(rank(1, 500) < rank(1, 9_000));
     assert!(rank(1, 9_000) < rank(1, 40_000));
@@ -265,7 +265,7 @@
     let uncached =
         |gateway: &Forwarder, id, source| gateway.uncached_tokens(id, &prompt, source, NOW);
     assert_eq!(uncached(&gateway, &holder, None), 8_100);
-    gateway.holds(&holder, &prompt, NOW);
+    gateway.note_cached(&holder, &prompt, NOW);
     assert_eq!(uncached(&gateway, &holder, None), 0);
     assert_eq!(uncached(&gateway, &other, None), 8_100);
     assert_eq!(uncached(&gateway, &other, Some(&holder)), 0);
--- a/components/forwarding/tests/core/quarantine.rs
+++ b/components/forwarding/tests/core/quarantine.rs
@@ -42,7 +42,7 @@
 /// Where a suspected request may go.
 fn own(forwarder: &Forwarder, path: &str, tried: &[BackendId]) -> BTreeSet<BackendId> {
     let service = ServiceId::new("words");
-    let left_out = forwarder.not_its_own(&service, request(path), tried, NOW);
+    let left_out = forwarder.excluded_for_suspect(&service, request(path), tried, NOW);
     let all = forwarder.backend_ids().cloned();
     all.filter(|id| !left_out.contains(id) && !tried.contains(id))
         .collect()
@@ -51,9 +51,9 @@
 #[test]
 fn a_gateway_that_knows_nothing_looks_nothing_up() {
     let mut forwarder = decode_engines(4);
-    assert!(forwarder.suspects_nobody());
+    assert!(forwarder.has_no_suspects());
     crash(&mut forwarder, "/bad", "d0");
-    assert!(!forwarder.suspects_nobody());
+    assert!(!forwarder.has_no_suspects());
     assert_eq!(forwarder.standing(request("/bad")), Standing::Clear);
     assert_eq!(forwarder.standing(request("/other")), Standing::Clear);
 }
@@ -76,7 +76,7 @@
     with.change(7, &ConfigurationChange::RequestReleased(request("/bad")));
     forwarder.update(WatchUpdate::Snapshot(with.into()));
     assert_eq!(forwarder.standing(request("/bad")), Standing::Clear);
-    assert!(forwarder.suspects_nobody());
+    assert!(forwarder.has_no_suspects());
 }
 
 /// An operator let it run again, and the gateway that had seen three engines
@@ -144,8 +144,8 @@
     forwarder.run_completed(request("/near"), NOW);
     let report = forwarder.run_report(NOW).expect("news");
     assert_eq!(report.runs.len(), 1);
-    forwarder.runs_noted(report.through);
+    forwarder.runs_confirmed(report.through);
     assert_eq!(forwarder.run_report(NOW), None);
-    forwarder.tell_runs_anew();
+    forwarder.resend_runs();
     assert!(forwarder.run_report(NOW).is_some());
 }
--- a/components/forwarding/tests/core/split_fleet.rs
+++ b/components/forwarding/tests/core/split_fleet.rs
@@ -140,8 +140,8 @@
                 engine.held.insert(prompt.shared_prefix());
                 let id = &self.ids[place];
                 let gateway = &mut self.gateways[by];
-                gateway.read(id, 0, uncached);
-                gateway.holds(id, &prompt, now);
+                gateway.prefilled(id, 0, uncached);
+                gateway.note_cached(id, &prompt, now);
                 gateway.ended(id, 0, Some(&prompt));
                 gateway.note_prefill(id, uncached, now.since(came));
                 if came >= NOW + WARM_AFTER {
--- a/components/forwarding/tests/core/usage.rs
+++ b/components/forwarding/tests/core/usage.rs
@@ -55,14 +55,14 @@
     begin(&mut meter, "one", 10_000);
     assert_eq!(meter.report().number, 1);
     assert_eq!(meter.take(&receipt(0, None), NOW), 0);
-    assert!(meter.has_news());
+    assert!(meter.has_unlogged());
     begin(&mut meter, "two", 10_000);
     let second = meter.report();
     assert_eq!(counts(&second), [(2, "one", 1), (2, "two", 1)]);
     meter.take(&receipt(1, None), NOW);
     assert_eq!(counts(&meter.report()), [(2, "two", 1)]);
     meter.take(&receipt(2, None), NOW);
-    assert!(!meter.has_news());
+    assert!(!meter.has_unlogged());
 }
 
 /// A count that grew after it was told is told again, as the whole.
