--- a/components/forwarding/src/admission.rs
+++ b/components/forwarding/src/admission.rs
@@ -19,21 +19,21 @@
     /// Wait for all prompts that are queued.
     pub(crate) all_queued_ms: f64,
     /// Wait for a place to generate.
-    pub(crate) place_ms: f64,
+    pub(crate) slot_ms: f64,
     /// Time in which the places are taken by callers who were told to come
     /// back.
-    pub(crate) returns_ms: f64,
+    pub(crate) retries_ms: f64,
 }
 
 /// Callers who were told to come back, and when.
 #[derive(Debug, Clone, Default)]
-pub(crate) struct Returns {
+pub(crate) struct PendingRetries {
     due: Vec<Millis>,
 }
 
-impl Returns {
+impl PendingRetries {
     /// Notes a caller who comes back at `due`.
-    pub(crate) fn told(&mut self, due: Millis, now: Millis) {
+    pub(crate) fn add(&mut self, due: Millis, now: Millis) {
         self.due.retain(|due| *due > now);
         self.due.push(due);
     }
@@ -76,34 +76,34 @@
 
 /// A wait below this part of the objective is none: nothing is deferred or
 /// refused while engines are free.
-const SHORT_WAIT: f64 = 0.25;
+const SHORT_WAIT_FRACTION: f64 = 0.25;
 /// A request is taken for late when so many objectives are predicted: half of
 /// those that are predicted to be just late are in time, and deferring one of
 /// these costs more than prefilling one that is late.
-const SURELY_LATE: f64 = 1.5;
+const LATE_FACTOR: f64 = 1.5;
 /// Callers come back within this part of the time that they have left.
-const LONGEST_RETRY: f64 = 0.3;
+const MAX_RETRY_FRACTION: f64 = 0.3;
 /// Who comes back finds this part of the objective used by others.
-const LEFT_FOR_RETURN: f64 = 0.5;
+const RETRY_OBJECTIVE_FRACTION: f64 = 0.5;
 /// Shortest time after which a caller may come again.
 pub const MIN_RETRY_AFTER: Millis = Millis(50);
 
 /// Decides on a request whose first event is useful within `objective`.
 pub(crate) fn admit(prediction: &Prediction, objective: Millis, arrival: &Arrival) -> Admission {
     let objective_ms = objective.0 as f64;
-    let wait_ms = prediction.ahead_ms + prediction.place_ms;
+    let wait_ms = prediction.ahead_ms + prediction.slot_ms;
     let in_time_ms = arrival.waited.0 as f64 + prediction.alone_ms + wait_ms;
-    if wait_ms <= objective_ms * SHORT_WAIT || in_time_ms <= objective_ms * SURELY_LATE {
+    if wait_ms <= objective_ms * SHORT_WAIT_FRACTION || in_time_ms <= objective_ms * LATE_FACTOR {
         return Admission::Admit;
     }
-    let deferred_ms = prediction.alone_ms + prediction.all_queued_ms + prediction.place_ms;
+    let deferred_ms = prediction.alone_ms + prediction.all_queued_ms + prediction.slot_ms;
     let is_hopeless = deferred_ms > arrival.remaining.0 as f64;
-    let waits_for_place = prediction.place_ms > objective_ms * SHORT_WAIT;
+    let waits_for_place = prediction.slot_ms > objective_ms * SHORT_WAIT_FRACTION;
     if !is_hopeless && (arrival.is_retry || !waits_for_place) {
         return Admission::Defer;
     }
-    let excess_ms = in_time_ms + prediction.returns_ms - objective_ms * LEFT_FOR_RETURN;
-    let longest = Millis((arrival.deadline.0 as f64 * LONGEST_RETRY) as u64);
+    let excess_ms = in_time_ms + prediction.retries_ms - objective_ms * RETRY_OBJECTIVE_FRACTION;
+    let longest = Millis((arrival.deadline.0 as f64 * MAX_RETRY_FRACTION) as u64);
     Admission::Refuse {
         retry_after: Millis(excess_ms as u64).min(longest).max(MIN_RETRY_AFTER),
         predicted: Millis(deferred_ms as u64),
--- a/components/forwarding/src/attempts.rs
+++ b/components/forwarding/src/attempts.rs
@@ -3,9 +3,9 @@
 use crate::work::Work;
 
 /// Back ends that may turn a request away before it is given up.
-const MOST_REJECTIONS: u32 = 3;
+const MAX_REJECTIONS: u32 = 3;
 /// Back ends that may be found unreachable before it is given up.
-const MOST_UNREACHABLE: u32 = 4;
+const MAX_UNREACHABLE: u32 = 4;
 
 /// Why a back end did not run a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -145,11 +145,11 @@
 /// attempt before surely did not run.
 pub fn next_move(work: &Work, progress: &Progress, end: AttemptEnd) -> NextMove {
     let repeat = progress.has_arrived();
-    let may_go_on = progress.surely_not_run() || work.kind.may_repeat();
-    let bounded = progress.ran + progress.silent < work.max_attempts
-        && progress.rejected < MOST_REJECTIONS
-        && progress.unreachable < MOST_UNREACHABLE;
-    if may_go_on && bounded {
+    let may_retry = progress.surely_not_run() || work.kind.may_repeat();
+    let within_bounds = progress.ran + progress.silent < work.max_attempts
+        && progress.rejected < MAX_REJECTIONS
+        && progress.unreachable < MAX_UNREACHABLE;
+    if may_retry && within_bounds {
         return NextMove::TryAnother { repeat };
     }
     if end == AttemptEnd::Failed {
--- a/components/forwarding/src/backends.rs
+++ b/components/forwarding/src/backends.rs
@@ -5,13 +5,13 @@
 use garnet_types::{BackendId, BackendKind, EngineRole, Millis};
 
 use crate::connections::ConnectionShare;
-use crate::others::Others;
+use crate::peer_load::PeerLoad;
 use crate::work::Prompt;
 
 /// A load report older than this is not believed any more.
-const REPORT_FRESH: Millis = Millis(2000);
+const REPORT_LIFETIME: Millis = Millis(2000);
 /// How long the leader's word on a failing back end holds without another.
-const FAILING_FOR: Millis = Millis::from_secs(3);
+const FAILING_LIFETIME: Millis = Millis::from_secs(3);
 
 /// Load as a back end tells it with an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -28,7 +28,7 @@
 struct TimedReport {
     report: LoadReport,
     at: Millis,
-    own_then: u64,
+    own_at_report: u64,
 }
 
 /// Load of a back end: own work, what the other gateways tell of theirs, and
@@ -40,7 +40,7 @@
     own_held_tokens: u64,
     /// Likely output of own requests.
     own_output_tokens: u64,
-    others: Others,
+    peers: PeerLoad,
     last_report: Option<TimedReport>,
 }
 
@@ -48,37 +48,38 @@
     /// Requests that run or wait, as far as known.
     pub fn requests(&self, now: Millis) -> u64 {
         let own = self.own.total();
-        let heard = own + self.others.requests(now);
-        let told = self.fresh(now).map_or(0, |told| {
-            let all_then = told.report.running + told.report.waiting;
-            all_then.saturating_sub(told.own_then) + own
+        let counted = own + self.peers.requests(now);
+        let reported = self.fresh_report(now).map_or(0, |timed| {
+            let all_then = timed.report.running + timed.report.waiting;
+            all_then.saturating_sub(timed.own_at_report) + own
         });
-        heard.max(told)
+        counted.max(reported)
     }
 
     /// Prompt tokens that it has yet to prefill, as far as known.
     pub fn uncached_tokens(&self, now: Millis) -> u64 {
-        self.own_uncached.total() + self.others.uncached(now).total()
+        self.own_uncached.total() + self.peers.uncached(now).total()
     }
 
     /// Of these, tokens that it prefills before a new request of this rank.
-    pub fn tokens_ahead_of(&self, rank: u8, now: Millis) -> u64 {
-        self.own_uncached.ahead_of(rank) + self.others.uncached(now).ahead_of(rank)
+    pub fn tokens_ahead_of(&self, engine_priority: u8, now: Millis) -> u64 {
+        self.own_uncached.ahead_of(engine_priority)
+            + self.peers.uncached(now).ahead_of(engine_priority)
     }
 
     /// Of these, what the leader told of other gateways.
-    pub(crate) fn peer_tokens_ahead_of(&self, rank: u8, now: Millis) -> u64 {
-        self.others.uncached(now).ahead_of(rank)
+    pub(crate) fn peer_tokens_ahead_of(&self, engine_priority: u8, now: Millis) -> u64 {
+        self.peers.uncached(now).ahead_of(engine_priority)
     }
 
     /// Time since the leader told of other gateways.
     pub(crate) fn peer_load_age(&self, now: Millis) -> Millis {
-        self.others.age(now)
+        self.peers.age(now)
     }
 
     /// Tokens of KV cache that requests under way hold, as far as known.
     pub fn held_tokens(&self, now: Millis) -> u64 {
-        self.own_held_tokens + self.others.held_tokens(now)
+        self.own_held_tokens + self.peers.held_tokens(now)
     }
 
     /// Own work under way at `backend`, to be told to the other gateways.
@@ -93,23 +94,23 @@
     }
 
     /// Notes a request of a rank that is sent.
-    pub fn sent(&mut self, rank: u8, uncached_tokens: u64, prompt: Option<&Prompt>) {
-        self.own.add(rank, 1);
-        self.own_uncached.add(rank, uncached_tokens);
+    pub fn sent(&mut self, engine_priority: u8, uncached_tokens: u64, prompt: Option<&Prompt>) {
+        self.own.add(engine_priority, 1);
+        self.own_uncached.add(engine_priority, uncached_tokens);
         self.own_held_tokens += prompt.map_or(0, Prompt::held_tokens);
         self.own_output_tokens += prompt.map_or(0, Prompt::likely_output);
     }
 
     /// Notes that the prompt of a request was prefilled.
-    pub fn prefilled(&mut self, rank: u8, uncached_tokens: u64) {
-        self.own_uncached.remove(rank, uncached_tokens);
+    pub fn prefilled(&mut self, engine_priority: u8, uncached_tokens: u64) {
+        self.own_uncached.remove(engine_priority, uncached_tokens);
     }
 
     /// Notes that a request is over.
-    pub fn ended(&mut self, rank: u8, prompt: Option<&Prompt>) {
+    pub fn ended(&mut self, engine_priority: u8, prompt: Option<&Prompt>) {
         let held = prompt.map_or(0, Prompt::held_tokens);
         let output = prompt.map_or(0, Prompt::likely_output);
-        self.own.remove(rank, 1);
+        self.own.remove(engine_priority, 1);
         self.own_held_tokens = self.own_held_tokens.saturating_sub(held);
         self.own_output_tokens = self.own_output_tokens.saturating_sub(output);
     }
@@ -130,22 +131,22 @@
         self.last_report = Some(TimedReport {
             report,
             at: now,
-            own_then: self.own.total(),
+            own_at_report: self.own.total(),
         });
     }
 
     /// What the other gateways have under way.
-    pub(crate) fn peers_mut(&mut self) -> &mut Others {
-        &mut self.others
+    pub(crate) fn peers_mut(&mut self) -> &mut PeerLoad {
+        &mut self.peers
     }
 
     /// Forgets what the back end told itself.
-    fn forget_told(&mut self) {
+    fn forget_report(&mut self) {
         self.last_report = None;
     }
 
-    fn fresh(&self, now: Millis) -> Option<&TimedReport> {
-        let fresh = |told: &&TimedReport| now.since(told.at) <= REPORT_FRESH;
+    fn fresh_report(&self, now: Millis) -> Option<&TimedReport> {
+        let fresh = |timed: &&TimedReport| now.since(timed.at) <= REPORT_LIFETIME;
         self.last_report.as_ref().filter(fresh)
     }
 }
@@ -210,23 +211,24 @@
             BackendKind::Application => None,
             BackendKind::Engine => record.assignment().map(|assignment| assignment.role),
         };
-        let told = record.start();
-        let before = std::mem::replace(&mut self.start, told);
-        let is_another = before != told && before != UNTOLD_START && told != UNTOLD_START;
-        if is_another {
+        let new_start = record.start();
+        let before = std::mem::replace(&mut self.start, new_start);
+        let has_restarted =
+            before != new_start && before != UNTOLD_START && new_start != UNTOLD_START;
+        if has_restarted {
             self.gone = false;
             self.breaker = CircuitBreaker::default();
             self.availability.reset();
             self.failing_at = None;
-            self.load.forget_told();
+            self.load.forget_report();
         }
-        is_another
+        has_restarted
     }
 
     /// Whether a new request may be sent to it.
-    pub fn is_open(&self, now: Millis, despite_failures: bool) -> bool {
+    pub fn is_open(&self, now: Millis, ignore_failures: bool) -> bool {
         let healthy = self.breaker.allows(now) && !self.is_failing(now);
-        self.is_in_service(now) && self.availability.allows(now) && (despite_failures || healthy)
+        self.is_in_service(now) && self.availability.allows(now) && (ignore_failures || healthy)
     }
 
     /// Whether it takes requests at all, now or after a backoff.
@@ -246,7 +248,7 @@
 
     /// Whether the fleet takes it for failing, and others try it.
     fn is_failing(&self, now: Millis) -> bool {
-        let holds = |at: Millis| now.since(at) <= FAILING_FOR;
-        !self.may_probe && self.failing_at.is_some_and(holds)
+        let is_recent = |at: Millis| now.since(at) <= FAILING_LIFETIME;
+        !self.may_probe && self.failing_at.is_some_and(is_recent)
     }
 }
--- a/components/forwarding/src/cache_lifetime.rs
+++ b/components/forwarding/src/cache_lifetime.rs
@@ -8,7 +8,7 @@
 
 /// What came longer ago hardly counts: some dozen prompts for each gateway of a
 /// large fleet, and as long as a swing of the mix.
-const REMEMBERED: Millis = Millis::from_secs(10);
+const DECAY_TIME: Millis = Millis::from_secs(10);
 
 /// Prompt tokens that come in a second, of one gateway.
 #[derive(Debug, Clone, Copy, Default)]
@@ -27,7 +27,7 @@
     }
 
     fn tokens_at(&self, now: Millis) -> f64 {
-        let age = now.since(self.at).as_secs_f64() / REMEMBERED.as_secs_f64();
+        let age = now.since(self.at).as_secs_f64() / DECAY_TIME.as_secs_f64();
         self.tokens * (-age).exp()
     }
 
@@ -36,9 +36,9 @@
         let Some(began_at) = self.began_at else {
             return 0.0;
         };
-        let known_for = now.since(began_at).as_secs_f64() / REMEMBERED.as_secs_f64();
+        let observed = now.since(began_at).as_secs_f64() / DECAY_TIME.as_secs_f64();
         // What came before the first prompt was noted is not known.
-        let weight = REMEMBERED.as_secs_f64() * (1.0 - (-known_for).exp());
+        let weight = DECAY_TIME.as_secs_f64() * (1.0 - (-observed).exp());
         self.tokens_at(now) / weight.max(1.0)
     }
 }
--- a/components/forwarding/src/connections.rs
+++ b/components/forwarding/src/connections.rs
@@ -9,12 +9,12 @@
 
 /// This part of a bound is not shared out: the control group connects to back ends as
 /// well, and a closed connection takes a moment to end at the other side.
-const RESERVED_PART: u64 = 8;
+const RESERVED_DIVISOR: u64 = 8;
 /// Fewest connections that are not shared out.
-const LEAST_RESERVED: u64 = 2;
+const MIN_RESERVED: u64 = 2;
 /// A gateway counts for so long after the leader has ceased to count it: connections of a
 /// machine that is suspended or cut off stay open at their back ends.
-const GONE_GATEWAY_COUNTS: Millis = Millis::from_secs(15);
+const GONE_GATEWAY_LIFETIME: Millis = Millis::from_secs(15);
 
 /// Connections that one gateway may have to one back end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -28,7 +28,7 @@
 impl ConnectionShare {
     /// The share of one of so many gateways.
     pub fn new(bound: u64, gateways: u64) -> Self {
-        let reserved = (bound / RESERVED_PART).max(LEAST_RESERVED);
+        let reserved = (bound / RESERVED_DIVISOR).max(MIN_RESERVED);
         let share = bound.saturating_sub(reserved) / gateways.max(1);
         ConnectionShare {
             in_use: share.max(1),
@@ -56,8 +56,8 @@
 impl SharingGateways {
     /// Takes the leader's count.
     pub(crate) fn note(&mut self, gateways: u64, now: Millis) {
-        let is_over = now.since(self.counted_at) > GONE_GATEWAY_COUNTS;
-        if is_over || self.highest.is_none_or(|highest| gateways >= highest) {
+        let is_expired = now.since(self.counted_at) > GONE_GATEWAY_LIFETIME;
+        if is_expired || self.highest.is_none_or(|highest| gateways >= highest) {
             self.highest = Some(gateways);
             self.counted_at = now;
         }
--- a/components/forwarding/src/forwarder/admitting.rs
+++ b/components/forwarding/src/forwarder/admission.rs
@@ -30,12 +30,12 @@
         if admission == Admission::Admit {
             return Some((placement, admission));
         }
-        let anywhere = PlacementContext {
-            anywhere: true,
+        let any_engine = PlacementContext {
+            any_engine: true,
             ..self.context(&[], now)
         };
         if self.may_compare_all(service)
-            && let Some(other) = self.place_by(service, work, &anywhere)
+            && let Some(other) = self.place_by(service, work, &any_engine)
             && self.admission(service, work, &other, arrival, now) == Admission::Admit
         {
             return Some((other, Admission::Admit));
@@ -44,7 +44,7 @@
             && !arrival.is_retry
         {
             let learned = self.learned.entry(service.clone()).or_default();
-            learned.returns.told(now + retry_after, now);
+            learned.pending_retries.add(now + retry_after, now);
         }
         Some((placement, admission))
     }
@@ -59,7 +59,7 @@
         now: Millis,
     ) -> Option<(Placement, Admission)> {
         let context = PlacementContext {
-            despite_connections: true,
+            ignore_connections: true,
             ..self.context(&[], now)
         };
         let placement = self.place_by(service, work, &context)?;
@@ -102,49 +102,57 @@
         let queued = self.queued_tokens(engine, LAST_RANK, now);
         let pace = self.pace_of(engine);
         let alone_ms = pace.expected_ms(uncached);
-        let place = self.place_queue(service, work.priority, placement, now);
+        let slot_estimate = self.slot_queue(service, work.priority, placement, now);
         // The other gateways told as many to come back, roughly.
         let learned = self.learned.get(service);
-        let told = learned.map_or(0, |learned| learned.returns.pending(now));
-        let returning = (told as u64 * self.gateways) as f64;
+        let pending_callers = learned.map_or(0, |learned| learned.pending_retries.pending(now));
+        let returning = (pending_callers as u64 * self.gateways) as f64;
         Prediction {
             alone_ms,
             ahead_ms: pace.expected_ms(ahead + uncached) - alone_ms,
             all_queued_ms: pace.expected_ms(queued + uncached) - alone_ms,
-            place_ms: place.wait_ms(),
-            returns_ms: place.leave_every_ms * returning / place.engines.max(1) as f64,
+            slot_ms: slot_estimate.wait_ms(),
+            retries_ms: slot_estimate.release_interval_ms * returning
+                / slot_estimate.engines.max(1) as f64,
         }
     }
 
     /// Prompt tokens that the engine prefills before a new request of this rank.
-    pub(super) fn queued_tokens(&self, engine: &BackendId, rank: u8, now: Millis) -> u64 {
+    pub(super) fn queued_tokens(
+        &self,
+        engine: &BackendId,
+        engine_priority: u8,
+        now: Millis,
+    ) -> u64 {
         let backend = self.backends.get(engine);
-        backend.map_or(0, |backend| backend.load.tokens_ahead_of(rank, now))
+        backend.map_or(0, |backend| {
+            backend.load.tokens_ahead_of(engine_priority, now)
+        })
     }
 
     /// Waiting for a place to generate.
-    fn place_queue(
+    fn slot_queue(
         &self,
         service: &ServiceId,
-        rank: u8,
+        route_priority: u8,
         placement: &Placement,
         now: Millis,
-    ) -> PlaceQueue {
+    ) -> SlotQueue {
         let table = self.configuration.routes.as_ref();
         let Some(limits) = table.and_then(|table| table.engine_limits(service)) else {
-            return PlaceQueue::default();
+            return SlotQueue::default();
         };
         let learned = self.learned.get(service);
         let token_time = learned.map_or(TokenTime::default(), |learned| learned.token_time);
-        let before = self.part_before(service, rank);
+        let share_ahead = self.fraction_ahead(service, route_priority);
         let queue = |backend: &Backend| {
             let requests = backend.load.requests(now);
-            let places = limits.places(requests, backend.load.held_tokens(now));
-            let beyond = requests as f64 * before + 1.0 - places;
+            let slots = limits.places(requests, backend.load.held_tokens(now));
+            let excess = requests as f64 * share_ahead + 1.0 - slots;
             let mean_output = backend.load.mean_output_tokens();
-            PlaceQueue {
-                beyond: beyond.max(0.0),
-                leave_every_ms: token_time.expected_ms(mean_output) / places.max(1.0),
+            SlotQueue {
+                excess: excess.max(0.0),
+                release_interval_ms: token_time.expected_ms(mean_output) / slots.max(1.0),
                 engines: 1,
             }
         };
@@ -158,11 +166,11 @@
         };
         let open = decode_engines.filter(|backend| backend.is_open(now, false));
         let open = open.filter(may_send);
-        let queues: Vec<PlaceQueue> = open.map(queue).collect();
+        let queues: Vec<SlotQueue> = open.map(queue).collect();
         let shortest = queues
             .iter()
             .min_by(|left, right| left.wait_ms().total_cmp(&right.wait_ms()));
-        shortest.map_or(PlaceQueue::default(), |shortest| PlaceQueue {
+        shortest.map_or(SlotQueue::default(), |shortest| SlotQueue {
             engines: queues.len(),
             ..*shortest
         })
@@ -170,7 +178,7 @@
 
     /// Part of the requests that generate which come before a new one of this
     /// rank; own requests are taken for like all others.
-    fn part_before(&self, service: &ServiceId, rank: u8) -> f64 {
+    fn fraction_ahead(&self, service: &ServiceId, route_priority: u8) -> f64 {
         let mut own = ByRank::default();
         let with_work = self.with_own_work.iter();
         let with_work = with_work.filter_map(|id| self.backends.get(id));
@@ -180,7 +188,7 @@
         }
         match own.total() {
             0 => 1.0,
-            total => own.ahead_of(rank) as f64 / total as f64,
+            total => own.ahead_of(route_priority) as f64 / total as f64,
         }
     }
 
@@ -197,13 +205,13 @@
         &self,
         id: &BackendId,
         uncached: u64,
-        rank: u8,
+        engine_priority: u8,
         now: Millis,
     ) -> Option<Millis> {
-        if rank >= LAST_RANK {
+        if engine_priority >= LAST_RANK {
             return None;
         }
-        let queued = self.queued_tokens(id, rank, now);
+        let queued = self.queued_tokens(id, engine_priority, now);
         Some(self.pace_of(id).time_limit(queued.max(uncached)))
     }
 
@@ -243,17 +251,17 @@
 
 /// Requests that wait for a place at the engine where they wait least.
 #[derive(Debug, Clone, Copy, Default)]
-struct PlaceQueue {
+struct SlotQueue {
     /// Requests more than places.
-    beyond: f64,
+    excess: f64,
     /// A place becomes free so often there.
-    leave_every_ms: f64,
+    release_interval_ms: f64,
     /// Engines with such queues.
     engines: usize,
 }
 
-impl PlaceQueue {
+impl SlotQueue {
     fn wait_ms(&self) -> f64 {
-        self.beyond * self.leave_every_ms
+        self.excess * self.release_interval_ms
     }
 }
--- a/components/forwarding/src/forwarder/availability.rs
+++ b/components/forwarding/src/forwarder/availability.rs
@@ -6,7 +6,7 @@
 use crate::backends::Backend;
 use crate::work::Work;
 
-use super::{Forwarder, GOLDEN_PART};
+use super::{Forwarder, GOLDEN_RATIO_CONJUGATE};
 
 impl Forwarder {
     /// Takes the backoff that an answer requests.
@@ -81,13 +81,13 @@
             Some(_) => BackendKind::Engine,
             None => BackendKind::Application,
         };
-        let could_take = |backend: &&Backend| {
+        let is_candidate = |backend: &&Backend| {
             let does_all = work.prompt.is_none() || backend.generates();
             let is_of_kind = backend.registration.kind == kind;
             does_all && is_of_kind && backend.is_in_service(now)
         };
         let mut first = Millis::NEVER;
-        for backend in self.backends_of(service).filter(could_take) {
+        for backend in self.backends_of(service).filter(is_candidate) {
             first = first.min(backend.availability.backoff_remaining(now)?);
         }
         if first == Millis::NEVER {
@@ -100,6 +100,6 @@
     fn next_draw(&mut self) -> f64 {
         self.drawn += 1;
         let first = self.settings.first_draw;
-        (first + self.drawn as f64 * GOLDEN_PART).fract()
+        (first + self.drawn as f64 * GOLDEN_RATIO_CONJUGATE).fract()
     }
 }
--- a/components/forwarding/src/forwarder/configuration.rs
+++ b/components/forwarding/src/forwarder/configuration.rs
@@ -9,14 +9,14 @@
 use garnet_routes::{CallerLimits, RouteIndex};
 use garnet_types::{BackendId, EncodingVersion, Millis};
 
+use crate::backend_groups::group_key;
 use crate::backends::Backend;
-use crate::likes::likes;
 
 use super::Forwarder;
 
 /// An unconfirmed configuration is given up when no leader has confirmed it for
 /// so long.
-const LONGEST_UNCONFIRMED: Millis = Millis::from_secs(10);
+const MAX_UNCONFIRMED_AGE: Millis = Millis::from_secs(10);
 
 impl Forwarder {
     /// Notes that the leader has the whole configuration in parts, as it stood at
@@ -33,7 +33,7 @@
     ) -> Option<PartRequest> {
         match self.loader.take(part, now) {
             TakenPart::Next(next) => return Some(next),
-            TakenPart::Whole(whole) => self.take_whole(whole),
+            TakenPart::Whole(full) => self.take_full(full),
             TakenPart::LeftAside => {}
         }
         None
@@ -44,7 +44,7 @@
         self.loader.connected();
         self.resend_runs();
         self.limits.connected();
-        self.set_permits_given(version >= EncodingVersion::V16);
+        self.set_permits_granted(version >= EncodingVersion::V16);
     }
 
     /// Takes what the leader says is new. An older configuration than the one
@@ -53,15 +53,15 @@
         match update {
             WatchUpdate::UnderWay | WatchUpdate::Parts { .. } => {}
             WatchUpdate::Current => self.unconfirmed_since = None,
-            WatchUpdate::Snapshot(whole) => self.take_whole(whole.into_inner()),
+            WatchUpdate::Snapshot(full) => self.take_full(full.into_inner()),
             WatchUpdate::Changes { from, to, changes } => self.take_changes(from, to, &changes),
         }
     }
 
-    fn take_whole(&mut self, whole: Configuration) {
+    fn take_full(&mut self, full: Configuration) {
         self.unconfirmed_since = None;
-        if whole.index >= self.configuration.index {
-            self.configuration = whole;
+        if full.index >= self.configuration.index {
+            self.configuration = full;
             self.apply_configuration();
         }
     }
@@ -95,7 +95,7 @@
 
     /// Forgets an unconfirmed configuration that has grown too old.
     pub fn forget_unconfirmed(&mut self, now: Millis) {
-        let is_old = |since| now.since(since) > LONGEST_UNCONFIRMED;
+        let is_old = |since| now.since(since) > MAX_UNCONFIRMED_AGE;
         if self.unconfirmed_since.is_some_and(is_old) {
             self.unconfirmed_since = None;
             self.configuration = Configuration::default();
@@ -163,15 +163,15 @@
             let record = self.configuration.backends.get(id);
             match (record, self.backends.get_mut(id)) {
                 (Some(record), Some(backend)) => {
-                    let did = likes(backend);
+                    let old_key = group_key(backend);
                     if backend.update(record) {
                         self.residency.remove(id);
                         self.limits.forget(id);
                         backend.has_limit = false;
                     }
-                    self.likes.follow_change(&did, backend);
+                    self.groups.update_group(&old_key, backend);
                     if let Some(residency) = self.residency.get_mut(id) {
-                        residency.share_lifetime(self.likes.cache_lifetime(backend));
+                        residency.share_lifetime(self.groups.cache_lifetime(backend));
                     }
                 }
                 (Some(record), None) => {
@@ -190,7 +190,7 @@
             }
         }
         if members_changed {
-            self.likes.follow_members(&mut self.backends);
+            self.groups.update_members(&mut self.backends);
         }
     }
 
--- a/components/forwarding/src/forwarder/beliefs.rs
+++ b/components/forwarding/src/forwarder/estimates.rs
@@ -10,7 +10,7 @@
 
 /// Copies that wait to be told at most; what is left out is told of when it is
 /// used again.
-const MOST_NEWS: usize = 64;
+const MAX_PENDING_COPIES: usize = 64;
 
 /// Prompt tokens that an engine has to prefill for a request.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
@@ -48,24 +48,24 @@
         id: &BackendId,
         prompt: Option<&Prompt>,
         source: Option<&BackendId>,
-        rank: u8,
+        engine_priority: u8,
         now: Millis,
     ) -> PrefillWork {
         let uncached = prompt.map_or(0, |prompt| self.uncached_tokens(id, prompt, source, now));
-        let queued = self.queued_tokens(id, rank, now);
+        let queued = self.queued_tokens(id, engine_priority, now);
         let Some(backend) = self.backends.get_mut(id) else {
             return PrefillWork::default();
         };
-        let queued_by_peers = backend.load.peer_tokens_ahead_of(rank, now);
+        let queued_by_peers = backend.load.peer_tokens_ahead_of(engine_priority, now);
         let peer_load_age = backend.load.peer_load_age(now);
         backend.breaker.sent();
         self.limits.sent(id, now);
         self.with_own_work.insert(id.clone());
         let Some(prompt) = prompt else {
-            backend.load.sent(rank, 0, None);
+            backend.load.sent(engine_priority, 0, None);
             return PrefillWork::default();
         };
-        backend.load.sent(rank, uncached, Some(prompt));
+        backend.load.sent(engine_priority, uncached, Some(prompt));
         if let Some(residency) = self.cache_of(id) {
             residency.note_sent(prompt, now);
         }
@@ -95,10 +95,16 @@
     }
 
     /// Notes a request that goes on from a KV cache at a back end.
-    pub fn sent_for_decode(&mut self, id: &BackendId, prompt: &Prompt, rank: u8, now: Millis) {
+    pub fn sent_for_decode(
+        &mut self,
+        id: &BackendId,
+        prompt: &Prompt,
+        engine_priority: u8,
+        now: Millis,
+    ) {
         if let Some(backend) = self.backends.get_mut(id) {
             backend.breaker.sent();
-            backend.load.sent(rank, 0, Some(prompt));
+            backend.load.sent(engine_priority, 0, Some(prompt));
             self.limits.sent(id, now);
             self.with_own_work.insert(id.clone());
         }
@@ -126,9 +132,9 @@
     }
 
     /// Notes that a prompt was prefilled.
-    pub fn prefilled(&mut self, id: &BackendId, rank: u8, uncached: u64) {
+    pub fn prefilled(&mut self, id: &BackendId, engine_priority: u8, uncached: u64) {
         if let Some(backend) = self.backends.get_mut(id) {
-            backend.load.prefilled(rank, uncached);
+            backend.load.prefilled(engine_priority, uncached);
         }
     }
 
@@ -137,19 +143,20 @@
         let Some(residency) = self.cache_of(id) else {
             return;
         };
-        let news = residency.note_prefilled(prompt, now);
-        let room = MOST_NEWS.saturating_sub(self.news.len());
+        let updates = residency.note_prefilled(prompt, now);
+        let room = MAX_PENDING_COPIES.saturating_sub(self.pending_copies.len());
         let copy = |prefix| PromptCopy {
             prefix,
             backend: id.clone(),
         };
-        self.news.extend(news.into_iter().take(room).map(copy));
+        self.pending_copies
+            .extend(updates.into_iter().take(room).map(copy));
     }
 
     /// Notes that a request is over at a back end, whatever its outcome.
-    pub fn ended(&mut self, id: &BackendId, rank: u8, prompt: Option<&Prompt>) {
+    pub fn ended(&mut self, id: &BackendId, engine_priority: u8, prompt: Option<&Prompt>) {
         if let Some(backend) = self.backends.get_mut(id) {
-            backend.load.ended(rank, prompt);
+            backend.load.ended(engine_priority, prompt);
         }
     }
 
--- a/components/forwarding/src/forwarder/limits.rs
+++ b/components/forwarding/src/forwarder/limits.rs
@@ -24,9 +24,9 @@
 impl Forwarder {
     /// Notes whether the leader gives permits; one of an earlier version does not, and
     /// requests are sent without any then, as before there were limits.
-    pub(super) fn set_permits_given(&mut self, are_given: bool) {
-        self.permits_are_given = are_given;
-        if !are_given {
+    pub(super) fn set_permits_granted(&mut self, are_granted: bool) {
+        self.permits_are_granted = are_granted;
+        if !are_granted {
             self.limits = KnownLimits::default();
             for backend in self.backends.values_mut() {
                 backend.has_limit = false;
@@ -45,7 +45,7 @@
         sent_at: Millis,
         now: Millis,
     ) -> Option<RequestRate> {
-        if !self.permits_are_given {
+        if !self.permits_are_granted {
             return None;
         }
         let backend = self.backends.get_mut(id)?;
@@ -70,13 +70,13 @@
     }
 
     /// Takes the leader's list of limits. Gives the back ends whose limit is over.
-    pub fn take_limits(&mut self, told: &LimitUpdate, now: Millis) -> Vec<BackendId> {
-        let over = self.limits.take_list(told.list(), now);
-        let listed = told.limits.iter().map(|told| &told.backend);
-        for id in listed.chain(&over) {
+    pub fn take_limits(&mut self, update: &LimitUpdate, now: Millis) -> Vec<BackendId> {
+        let ended = self.limits.take_list(update.list(), now);
+        let listed = update.limits.iter().map(|entry| &entry.backend);
+        for id in listed.chain(&ended) {
             self.note_whether_limited(id);
         }
-        over
+        ended
     }
 
     /// Keeps [`Backend::has_limit`] in step with the limits.
@@ -141,23 +141,23 @@
             return None;
         }
         self.arrived = self.arrived.wrapping_add(1);
-        let turn = self.arrived.wrapping_add(self.seed);
-        if !turn.is_multiple_of(self.gateways.max(1)) {
+        let sequence = self.arrived.wrapping_add(self.seed);
+        if !sequence.is_multiple_of(self.gateways.max(1)) {
             return None;
         }
-        let may_help = |backend: &&Backend| {
+        let needs_permit = |backend: &&Backend| {
             backend.has_limit
                 && backend.is_open(now, false)
                 && !self.limits.may_send(&backend.registration.id, now)
         };
-        let could_take: Vec<BackendId> = self
+        let candidates: Vec<BackendId> = self
             .backends_of(service)
-            .filter(may_help)
+            .filter(needs_permit)
             .map(|backend| backend.registration.id.clone())
             .collect();
         // One that nobody has sent to for long is as likely as any other.
         let drawn = self.arrived as usize / self.gateways.max(1) as usize;
-        let one = could_take.get(drawn % could_take.len().max(1))?;
+        let one = candidates.get(drawn % candidates.len().max(1))?;
         match self.limits.ask([one].into_iter(), work.priority, now) {
             Asking::Ask(ask) => Some(ask),
             Asking::Closed(_) | Asking::Unlimited => None,
--- a/components/forwarding/src/forwarder/fleet.rs
+++ b/components/forwarding/src/forwarder/load_exchange.rs
@@ -9,24 +9,24 @@
 use garnet_types::{BackendId, Millis, ServiceId};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
+use crate::backend_groups::{GroupKey, group_key};
 use crate::cache_lifetime::lifetime;
-use crate::likes::{Likes, likes};
-use crate::others::{AlikeBelief, Underway};
+use crate::peer_load::{GroupLoad, InFlight};
 use crate::residency::Residency;
 
 use super::Forwarder;
 
 /// What was heard of the others' work at one back end counts for half after this
 /// time, where nothing is known of the time that work is there.
-const OTHERS_HALVED: Millis = Millis(400);
+const DEFAULT_HALF_LIFE: Millis = Millis(400);
 /// Own reports that are remembered, to be taken off a digest that counts them:
 /// more than are under way to the leader and back.
-const REMEMBERED_REPORTS: usize = 32;
+const MAX_REMEMBERED_REPORTS: usize = 32;
 /// Weight of the newest interval between two digests.
-const NEWEST_INTERVAL: f64 = 0.1;
+const INTERVAL_WEIGHT: f64 = 0.1;
 /// Prefill engines that are looked at where beliefs are fresh: a few come close to
 /// the best of all.
-const MOST_SAMPLED: usize = 4;
+const MAX_SAMPLED: usize = 4;
 /// One gateway of all tries a failing back end for so long, then another one.
 const PROBE_SLOT: Millis = Millis(1000);
 
@@ -52,16 +52,16 @@
 /// How old beliefs about the others' work are when they are used, in the mean:
 /// reports and digests come at the same pace.
 #[derive(Debug, Clone, Copy, Default)]
-pub(super) struct BeliefsAge {
-    heard_at: Option<Millis>,
+pub(super) struct EstimateAge {
+    received_at: Option<Millis>,
     mean_ms: f64,
 }
 
-impl BeliefsAge {
-    fn heard(&mut self, now: Millis) {
-        if let Some(before) = self.heard_at.replace(now) {
+impl EstimateAge {
+    fn received(&mut self, now: Millis) {
+        if let Some(before) = self.received_at.replace(now) {
             let interval = now.since(before).0 as f64;
-            self.mean_ms += NEWEST_INTERVAL * (interval - self.mean_ms);
+            self.mean_ms += INTERVAL_WEIGHT * (interval - self.mean_ms);
         }
     }
 }
@@ -78,7 +78,7 @@
         self.with_own_work.retain(|id| own(id).is_some());
         let backlogs: Vec<Backlog> = self.with_own_work.iter().filter_map(own).collect();
         let reporting = &mut self.reporting;
-        if reporting.sent.len() == REMEMBERED_REPORTS {
+        if reporting.sent.len() == MAX_REMEMBERED_REPORTS {
             reporting.sent.pop_front();
         }
         reporting.sent.push_back((now, backlogs.clone()));
@@ -86,61 +86,61 @@
         GatewayReport {
             backlogs,
             evidence: evidence.into_values().collect(),
-            copies: std::mem::take(&mut self.news),
+            copies: std::mem::take(&mut self.pending_copies),
         }
     }
 
     /// Takes the leader's digest. One of other back ends than are known here
     /// is left aside.
-    pub fn take_digest(&mut self, told: &ToldDigest, now: Millis) {
-        let Some(states) = told.digest.states(self.likes.members()) else {
+    pub fn take_digest(&mut self, update: &ToldDigest, now: Millis) {
+        let Some(states) = update.digest.states(self.groups.members()) else {
             return;
         };
-        let own = self.counted_report(told.counted);
-        for id in std::mem::take(&mut self.heard_of) {
-            self.hear(&id, Underway::default(), false, now);
+        let own = self.counted_report(update.counted);
+        for id in std::mem::take(&mut self.in_last_digest) {
+            self.take_state(&id, InFlight::default(), false, now);
         }
-        let mut sums: BTreeMap<Likes, Underway> = BTreeMap::new();
+        let mut sums: BTreeMap<GroupKey, InFlight> = BTreeMap::new();
         for PlacedState { place, state } in states {
-            let Some(id) = self.likes.id_at(place).cloned() else {
+            let Some(id) = self.groups.id_at(place).cloned() else {
                 continue;
             };
-            let all = Underway::from(&state);
-            let there = own.get(&id).map_or(all, |own| all.without(own));
-            if let Some(likes) = self.hear(&id, there, state.is_failing, now) {
-                sums.entry(likes).or_default().add(&there);
+            let all = InFlight::from(&state);
+            let reported = own.get(&id).map_or(all, |own| all.without(own));
+            if let Some(key) = self.take_state(&id, reported, state.is_failing, now) {
+                sums.entry(key).or_default().add(&reported);
             }
-            self.heard_of.push(id);
+            self.in_last_digest.push(id);
         }
-        self.hear_means(&sums, now);
-        self.beliefs_age.heard(now);
+        self.set_group_means(&sums, now);
+        self.estimate_age.received(now);
         self.note_cache_lifetimes(now);
     }
 
     /// Notes what was told of one back end. Gives whom it is like.
-    fn hear(
+    fn take_state(
         &mut self,
         id: &BackendId,
-        there: Underway,
+        reported: InFlight,
         is_failing: bool,
         now: Millis,
-    ) -> Option<Likes> {
+    ) -> Option<GroupKey> {
         self.note_failing(id, is_failing, now);
         let backend = self.backends.get_mut(id)?;
-        backend.load.peers_mut().heard(there);
-        Some(likes(backend))
+        backend.load.peers_mut().received(reported);
+        Some(group_key(backend))
     }
 
     /// Notes what back ends that do the same work have in the mean.
-    fn hear_means(&mut self, sums: &BTreeMap<Likes, Underway>, now: Millis) {
+    fn set_group_means(&mut self, sums: &BTreeMap<GroupKey, InFlight>, now: Millis) {
         let learned = &self.learned;
-        for (likes, alike) in self.likes.iter() {
-            let sum = sums.get(likes).copied().unwrap_or_default();
-            let pace = learned.get(&likes.0).map(|learned| learned.prefill.mean());
-            alike.belief.replace(AlikeBelief {
-                mean: sum.mean(alike.count),
-                heard_at: now,
-                halved: pace.unwrap_or(OTHERS_HALVED).max(Millis(1)),
+        for (key, group) in self.groups.iter() {
+            let sum = sums.get(key).copied().unwrap_or_default();
+            let pace = learned.get(&key.0).map(|learned| learned.prefill.mean());
+            group.estimate.replace(GroupLoad {
+                mean: sum.mean(group.count),
+                received_at: now,
+                half_life: pace.unwrap_or(DEFAULT_HALF_LIFE).max(Millis(1)),
             });
         }
     }
@@ -149,13 +149,13 @@
     /// as many gateways.
     fn note_cache_lifetimes(&self, now: Millis) {
         let table = self.configuration.routes.as_ref();
-        for ((service, _), alike) in self.likes.iter() {
+        for ((service, _), group) in self.groups.iter() {
             let limits = table.and_then(|table| table.engine_limits(service));
             let learned = self.learned.get(service);
             if let (Some(limits), Some(learned)) = (limits, learned) {
                 let rate = learned.prompt_rate.per_s(now) * self.gateways as f64;
-                let lifetime = lifetime(limits.cache_tokens, alike.count.max(1), rate);
-                alike.cache_lifetime.set(Some(lifetime));
+                let lifetime = lifetime(limits.cache_tokens, group.count.max(1), rate);
+                group.cache_lifetime.set(Some(lifetime));
             }
         }
     }
@@ -163,8 +163,8 @@
     /// What is believed of the cache of a back end that is known.
     pub(super) fn cache_of(&mut self, id: &BackendId) -> Option<&mut Residency> {
         let backend = self.backends.get(id)?;
-        let likes = &self.likes;
-        let unknown = || Residency::with_lifetime(likes.cache_lifetime(backend));
+        let groups = &self.groups;
+        let unknown = || Residency::with_lifetime(groups.cache_lifetime(backend));
         Some(self.residency.entry(id.clone()).or_insert_with(unknown))
     }
 
@@ -174,13 +174,13 @@
     /// the same way.
     pub(super) fn engines_to_sample(&self, service: &ServiceId) -> usize {
         let prefill = self.turnover(service).0 as f64;
-        let fresh = prefill / self.beliefs_age.mean_ms.max(1.0);
-        (MOST_SAMPLED as f64 * fresh.min(1.0)).round() as usize
+        let fresh = prefill / self.estimate_age.mean_ms.max(1.0);
+        (MAX_SAMPLED as f64 * fresh.min(1.0)).round() as usize
     }
 
     /// Whether beliefs are fresh enough to compare all engines.
     pub(super) fn may_compare_all(&self, service: &ServiceId) -> bool {
-        self.engines_to_sample(service) >= MOST_SAMPLED
+        self.engines_to_sample(service) >= MAX_SAMPLED
     }
 
     /// How long a prompt is at a prefill engine of the service, in the mean.
@@ -201,8 +201,8 @@
     /// is seen at the cost of few requests.
     fn note_failing(&mut self, id: &BackendId, is_failing: bool, now: Millis) {
         let slot = now.0 / PROBE_SLOT.0;
-        let lot = xxh3_64_with_seed(id.as_str().as_bytes(), self.seed ^ slot);
-        let may_probe = lot.is_multiple_of(self.gateways.max(1));
+        let draw = xxh3_64_with_seed(id.as_str().as_bytes(), self.seed ^ slot);
+        let may_probe = draw.is_multiple_of(self.gateways.max(1));
         if let Some(backend) = self.backends.get_mut(id) {
             backend.failing_at = is_failing.then_some(now);
             backend.may_probe = may_probe;
@@ -221,16 +221,16 @@
 
     /// Takes the leader's news of copies. Those about other back ends than are
     /// known here are left aside.
-    pub fn take_copy_updates(&mut self, news: &CopyNews, now: Millis) {
-        if news.copies.is_empty() || news.members != self.likes.members() {
+    pub fn take_copy_updates(&mut self, updates: &CopyNews, now: Millis) {
+        if updates.copies.is_empty() || updates.members != self.groups.members() {
             return;
         }
-        let placed = |copy: &PlacedCopy| {
-            let backend = self.likes.id_at(usize::from(copy.place))?.clone();
+        let locate = |copy: &PlacedCopy| {
+            let backend = self.groups.id_at(usize::from(copy.place))?.clone();
             let prefix = copy.prefix;
             Some(PromptCopy { prefix, backend })
         };
-        let copies: Vec<PromptCopy> = news.copies.iter().filter_map(placed).collect();
+        let copies: Vec<PromptCopy> = updates.copies.iter().filter_map(locate).collect();
         self.note_copies(&copies, now);
     }
 
--- a/components/forwarding/src/forwarder/mod.rs
+++ b/components/forwarding/src/forwarder/mod.rs
@@ -1,19 +1,19 @@
 //! What a gateway believes, and the decisions that rest on it.
 
-mod admitting;
+mod admission;
 mod availability;
-mod beliefs;
 mod configuration;
 mod connections;
-mod fleet;
+mod estimates;
 mod limits;
+mod load_exchange;
 mod quarantine;
 
-pub use beliefs::PrefillWork;
-pub use fleet::GatewayReport;
+pub use estimates::PrefillWork;
 pub use limits::ReportedLimit;
+pub use load_exchange::GatewayReport;
 
-use fleet::{BeliefsAge, Reporting};
+use load_exchange::{EstimateAge, Reporting};
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -24,22 +24,22 @@
 use garnet_types::{BackendId, BackendKind, Millis, ServiceId};
 
 use crate::access::{AccessDenied, Credential, authorize};
-use crate::admission::Returns;
+use crate::admission::PendingRetries;
+use crate::backend_groups::BackendGroups;
 use crate::backends::Backend;
 use crate::cache_lifetime::PromptRate;
 use crate::connections::SharingGateways;
-use crate::likes::KnownLikes;
 use crate::output_length::OutputLength;
 use crate::pace::{PrefillPace, TokenTime};
 use crate::placement::{
     EngineView, Placement, PlacementContext, place_application, place_decode, place_engines,
 };
 use crate::residency::Residency;
-use crate::share::{ServiceBudget, SharedRetryBudget};
+use crate::retry_budget::{ServiceBudget, SharedRetryBudget};
 use crate::work::Work;
 
 /// Draws that go on by this part of one are spread evenly at any count.
-const GOLDEN_PART: f64 = 0.618_033_988_749_894_9;
+const GOLDEN_RATIO_CONJUGATE: f64 = 0.618_033_988_749_894_9;
 
 /// Gateways that share the budgets while that is not known: none of the fixed
 /// part may be used.
@@ -77,13 +77,13 @@
     routes: RouteIndex,
     backends: BTreeMap<BackendId, Backend>,
     /// Their places, and who does the same work.
-    likes: KnownLikes,
+    groups: BackendGroups,
     /// Back ends that this gateway may have work at.
     with_own_work: BTreeSet<BackendId>,
     /// Records of back ends that were followed so far.
     records_applied: u64,
     /// Back ends that the leader's newest digest names.
-    heard_of: Vec<BackendId>,
+    in_last_digest: Vec<BackendId>,
     residency: BTreeMap<BackendId, Residency>,
     budgets: HashMap<ServiceId, ServiceBudget>,
     draws: HashMap<String, f64>,
@@ -94,13 +94,13 @@
     drawn: u64,
     learned: HashMap<ServiceId, Learned>,
     /// Copies that the other gateways should hear of.
-    news: Vec<PromptCopy>,
+    pending_copies: Vec<PromptCopy>,
     reporting: Reporting,
-    beliefs_age: BeliefsAge,
+    estimate_age: EstimateAge,
     crash_log: CrashLog,
     /// Limits of back ends, and permits for them.
     limits: KnownLimits,
-    permits_are_given: bool,
+    permits_are_granted: bool,
     /// Requests that came so far, to share out who asks for a spare permit.
     arrived: u64,
     /// Parts this gateway's draws from those of the others.
@@ -113,7 +113,7 @@
     prefill: PrefillPace,
     token_time: TokenTime,
     output_length: OutputLength,
-    returns: Returns,
+    pending_retries: PendingRetries,
     prompt_rate: PromptRate,
 }
 
@@ -128,10 +128,10 @@
             unconfirmed_since: None,
             routes: RouteIndex::default(),
             backends: BTreeMap::new(),
-            likes: KnownLikes::default(),
+            groups: BackendGroups::default(),
             with_own_work: BTreeSet::new(),
             records_applied: 0,
-            heard_of: Vec::new(),
+            in_last_digest: Vec::new(),
             residency: BTreeMap::new(),
             budgets: HashMap::new(),
             draws: HashMap::new(),
@@ -140,12 +140,12 @@
             shared_among: 1,
             drawn: 0,
             learned: HashMap::new(),
-            news: Vec::new(),
+            pending_copies: Vec::new(),
             reporting: Reporting::default(),
-            beliefs_age: BeliefsAge::default(),
+            estimate_age: EstimateAge::default(),
             crash_log: CrashLog::default(),
             limits: KnownLimits::default(),
-            permits_are_given: true,
+            permits_are_granted: true,
             arrived: 0,
             seed,
         }
@@ -158,7 +158,7 @@
         let route = self.routes.find(host, path)?;
         let first = self.settings.first_draw;
         let draw = self.draws.entry(route.name.clone()).or_insert(first);
-        *draw = (*draw + GOLDEN_PART).fract();
+        *draw = (*draw + GOLDEN_RATIO_CONJUGATE).fract();
         let service = route.pick_service(*draw)?.clone();
         let route = route.clone();
         Some(RouteChoice { route, service })
@@ -204,7 +204,7 @@
         // A back end that failed lately is better than none.
         self.place_by(service, work, &context).or_else(|| {
             let context = PlacementContext {
-                despite_failures: true,
+                ignore_failures: true,
                 ..context
             };
             self.place_by(service, work, &context)
@@ -218,9 +218,9 @@
             now,
             tried,
             may_hand_over: true,
-            despite_failures: false,
-            despite_connections: false,
-            anywhere: false,
+            ignore_failures: false,
+            ignore_connections: false,
+            any_engine: false,
             sampled: 0,
             draw: self.drawn,
         }
@@ -257,9 +257,9 @@
     ) -> Option<BackendId> {
         self.drawn += 1;
         let zone = &self.backends.get(prefill_engine)?.registration.zone;
-        let find = |despite_failures| {
+        let find = |ignore_failures| {
             let context = PlacementContext {
-                despite_failures,
+                ignore_failures,
                 ..self.context(tried, now)
             };
             place_decode(self.backends_of(service), zone, &context)
@@ -346,6 +346,6 @@
     fn budget(&mut self, service: &ServiceId, now: Millis) -> &mut ServiceBudget {
         self.budgets
             .entry(service.clone())
-            .or_insert_with(|| ServiceBudget::beginning_at(now))
+            .or_insert_with(|| ServiceBudget::starting_at(now))
     }
 }
--- a/components/forwarding/src/forwarder/quarantine.rs
+++ b/components/forwarding/src/forwarder/quarantine.rs
@@ -11,7 +11,7 @@
 
 /// What a caller is told to wait that comes with a refused request, before the
 /// log says until when it is refused.
-const UNTIL_LOGGED: Millis = Millis::from_secs(60);
+const DEFAULT_RETRY_AFTER: Millis = Millis::from_secs(60);
 
 impl Forwarder {
     /// Whether nothing is known of any request, so that none need be looked up.
@@ -30,7 +30,7 @@
     /// For how long a refused request will be refused.
     pub fn refused_for(&self, fingerprint: RequestFingerprint, now: Millis) -> Millis {
         let record = self.configuration.quarantine.get(&fingerprint);
-        record.map_or(UNTIL_LOGGED, |record| record.until.since(now))
+        record.map_or(DEFAULT_RETRY_AFTER, |record| record.until.since(now))
     }
 
     /// Notes a run that broke off as a crash of its back end breaks it off.
--- a/components/forwarding/src/output_length.rs
+++ b/components/forwarding/src/output_length.rs
@@ -7,7 +7,7 @@
 use crate::work::Prompt;
 
 /// Weight of the newest guess: some hundred of them make the average.
-const NEWEST: f64 = 0.01;
+const SAMPLE_WEIGHT: f64 = 0.01;
 
 /// The part of the most that is likely, learned from guesses.
 #[derive(Debug, Clone, Copy)]
@@ -27,17 +27,17 @@
     /// Learns from the caller's guess. Where there is none, gives what is
     /// likely.
     pub(crate) fn complete(&mut self, prompt: &mut Prompt) {
-        let most = prompt.output_tokens;
-        if most == 0 {
+        let max_tokens = prompt.output_tokens;
+        if max_tokens == 0 {
             return;
         }
         match prompt.likely_output_tokens {
             Some(guess) => {
-                let part = guess.min(most) as f64 / most as f64;
-                self.likely_fraction += NEWEST * (part - self.likely_fraction);
+                let fraction = guess.min(max_tokens) as f64 / max_tokens as f64;
+                self.likely_fraction += SAMPLE_WEIGHT * (fraction - self.likely_fraction);
             }
             None => {
-                let likely = most as f64 * self.likely_fraction;
+                let likely = max_tokens as f64 * self.likely_fraction;
                 prompt.likely_output_tokens = Some(likely.round() as u64);
             }
         }
--- a/components/forwarding/src/pace.rs
+++ b/components/forwarding/src/pace.rs
@@ -10,17 +10,17 @@
 /// Pace that is believed before the first prompt was prefilled, in tokens a
 /// millisecond: slower than any engine that is known, so that nobody is left
 /// for slow too soon.
-const FIRST_TOKENS_PER_MS: f64 = 20.0;
+const INITIAL_TOKENS_PER_MS: f64 = 20.0;
 /// Tokens, and their spread, of the prompt that stands for those which were not
 /// read yet; the first prompts outweigh it.
-const FIRST_TOKENS: f64 = 2_000.0;
+const INITIAL_TOKENS: f64 = 2_000.0;
 /// Part of each older prompt's weight that is left when a new one comes: some
 /// two hundred prompts make the line.
-const KEPT: f64 = 0.995;
+const SAMPLE_DECAY: f64 = 0.995;
 /// Prompts of which nothing is ahead say nothing of the pace.
-const TELLING_TOKENS: u64 = 100;
+const MIN_SAMPLE_TOKENS: u64 = 100;
 /// Shortest limit for a prompt that is prefilled.
-const SHORTEST_TIME_LIMIT: Millis = Millis(1000);
+const MIN_TIME_LIMIT: Millis = Millis(1000);
 /// A prefill may take so many times what is expected.
 const TIME_LIMIT_SLACK: f64 = 4.0;
 
@@ -39,10 +39,10 @@
     fn default() -> Self {
         PrefillPace {
             weight: 1.0,
-            mean_tokens: FIRST_TOKENS,
-            mean_ms: FIRST_TOKENS / FIRST_TOKENS_PER_MS,
-            variance: FIRST_TOKENS * FIRST_TOKENS,
-            covariance: FIRST_TOKENS * FIRST_TOKENS / FIRST_TOKENS_PER_MS,
+            mean_tokens: INITIAL_TOKENS,
+            mean_ms: INITIAL_TOKENS / INITIAL_TOKENS_PER_MS,
+            variance: INITIAL_TOKENS * INITIAL_TOKENS,
+            covariance: INITIAL_TOKENS * INITIAL_TOKENS / INITIAL_TOKENS_PER_MS,
         }
     }
 }
@@ -51,18 +51,20 @@
     /// Notes a prefill: `tokens` were believed to be prefilled until its end, those
     /// queued before it included.
     pub fn note(&mut self, tokens: u64, took: Millis) {
-        if tokens < TELLING_TOKENS {
+        if tokens < MIN_SAMPLE_TOKENS {
             return;
         }
-        self.weight = self.weight * KEPT + 1.0;
-        let newest = 1.0 / self.weight;
-        let off_tokens = tokens as f64 - self.mean_tokens;
-        let off_ms = took.0 as f64 - self.mean_ms;
-        self.mean_tokens += newest * off_tokens;
-        self.mean_ms += newest * off_ms;
-        let older = 1.0 - newest;
-        self.variance = older * (self.variance + newest * off_tokens * off_tokens);
-        self.covariance = older * (self.covariance + newest * off_tokens * off_ms);
+        self.weight = self.weight * SAMPLE_DECAY + 1.0;
+        let sample_weight = 1.0 / self.weight;
+        let token_deviation = tokens as f64 - self.mean_tokens;
+        let ms_deviation = took.0 as f64 - self.mean_ms;
+        self.mean_tokens += sample_weight * token_deviation;
+        self.mean_ms += sample_weight * ms_deviation;
+        let old_weight = 1.0 - sample_weight;
+        self.variance =
+            old_weight * (self.variance + sample_weight * token_deviation * token_deviation);
+        self.covariance =
+            old_weight * (self.covariance + sample_weight * token_deviation * ms_deviation);
     }
 
     /// Time until `tokens` are prefilled.
@@ -84,7 +86,7 @@
     /// Longest time that prefilling `tokens` should take, those queued before
     /// them included.
     pub fn time_limit(&self, tokens: u64) -> Millis {
-        SHORTEST_TIME_LIMIT + Millis((self.expected_ms(tokens) * TIME_LIMIT_SLACK) as u64)
+        MIN_TIME_LIMIT + Millis((self.expected_ms(tokens) * TIME_LIMIT_SLACK) as u64)
     }
 }
 
@@ -99,8 +101,8 @@
 impl TokenTime {
     /// Notes a request that kept its place for so long.
     pub fn note(&mut self, likely_output_tokens: u64, kept: Millis) {
-        self.sum_ms = self.sum_ms * KEPT + kept.0 as f64;
-        self.sum_tokens = self.sum_tokens * KEPT + likely_output_tokens as f64;
+        self.sum_ms = self.sum_ms * SAMPLE_DECAY + kept.0 as f64;
+        self.sum_tokens = self.sum_tokens * SAMPLE_DECAY + likely_output_tokens as f64;
     }
 
     /// Time in which so many tokens are generated; nothing while no request has
--- a/components/forwarding/src/others.rs
+++ b/components/forwarding/src/peer_load.rs
@@ -8,20 +8,20 @@
 
 /// Work under way at a back end.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub(crate) struct Underway {
+pub(crate) struct InFlight {
     pub(crate) requests: u64,
     pub(crate) uncached: ByRank,
     pub(crate) held_tokens: u64,
 }
 
-impl Underway {
+impl InFlight {
     /// What is left when `own` is taken off, as far as it is counted.
     pub(crate) fn without(&self, own: &Backlog) -> Self {
         let mut uncached = self.uncached;
-        for (rank, tokens) in own.uncached.iter() {
-            uncached.remove(rank, tokens);
+        for (engine_priority, tokens) in own.uncached.iter() {
+            uncached.remove(engine_priority, tokens);
         }
-        Underway {
+        InFlight {
             requests: self.requests.saturating_sub(own.requests),
             uncached,
             held_tokens: self.held_tokens.saturating_sub(own.held_tokens),
@@ -29,7 +29,7 @@
     }
 
     /// Adds the work of another back end.
-    pub(crate) fn add(&mut self, other: &Underway) {
+    pub(crate) fn add(&mut self, other: &InFlight) {
         self.requests += other.requests;
         self.uncached += other.uncached;
         self.held_tokens += other.held_tokens;
@@ -37,15 +37,15 @@
 
     /// The mean of this sum of `count` back ends.
     pub(crate) fn mean(&self, count: usize) -> Self {
-        self.map(|number| number / (count as u64).max(1))
+        self.map(|sum| sum / (count as u64).max(1))
     }
 
     fn map(&self, change: impl Fn(u64) -> u64) -> Self {
         let mut uncached = ByRank::default();
-        for (rank, tokens) in self.uncached.iter() {
-            uncached.add(rank, change(tokens));
+        for (engine_priority, tokens) in self.uncached.iter() {
+            uncached.add(engine_priority, change(tokens));
         }
-        Underway {
+        InFlight {
             requests: change(self.requests),
             uncached,
             held_tokens: change(self.held_tokens),
@@ -53,9 +53,9 @@
     }
 }
 
-impl From<&BackendState> for Underway {
+impl From<&BackendState> for InFlight {
     fn from(state: &BackendState) -> Self {
-        Underway {
+        InFlight {
             requests: state.requests,
             uncached: state.uncached,
             held_tokens: state.held_tokens,
@@ -66,14 +66,14 @@
 /// What the leader told last of back ends that do the same work: one value that all
 /// of them share, so that a digest is taken at the cost of what it names.
 #[derive(Debug, Clone, Copy, Default)]
-pub(crate) struct AlikeBelief {
+pub(crate) struct GroupLoad {
     /// What the others have at one of them in the mean.
-    pub(crate) mean: Underway,
+    pub(crate) mean: InFlight,
     /// When it was heard.
-    pub(crate) heard_at: Millis,
+    pub(crate) received_at: Millis,
     /// What was heard of one of them counts for half after this time: about the time
     /// that a request is there.
-    pub(crate) halved: Millis,
+    pub(crate) half_life: Millis,
 }
 
 /// What the other gateways have under way at a back end, and what they have at
@@ -82,44 +82,44 @@
 /// Invariant: what is believed of one back end loses weight with its age and
 /// turns into the mean; it doesn't turn into "idle".
 #[derive(Debug, Clone, Default)]
-pub(crate) struct Others {
-    there: Underway,
-    alike: Rc<RefCell<AlikeBelief>>,
+pub(crate) struct PeerLoad {
+    reported: InFlight,
+    group: Rc<RefCell<GroupLoad>>,
 }
 
-impl Others {
+impl PeerLoad {
     /// Joins the back ends that share this belief.
-    pub(crate) fn join(&mut self, alike: &Rc<RefCell<AlikeBelief>>) {
-        self.alike = Rc::clone(alike);
+    pub(crate) fn join(&mut self, group: &Rc<RefCell<GroupLoad>>) {
+        self.group = Rc::clone(group);
     }
 
     /// Notes what the leader told of this back end with the newest belief.
-    pub(crate) fn heard(&mut self, there: Underway) {
-        self.there = there;
+    pub(crate) fn received(&mut self, reported: InFlight) {
+        self.reported = reported;
     }
 
     /// Time since the leader told it.
     pub(crate) fn age(&self, now: Millis) -> Millis {
-        now.since(self.alike.borrow().heard_at)
+        now.since(self.group.borrow().received_at)
     }
 
     /// Requests that they probably have there now.
     pub(crate) fn requests(&self, now: Millis) -> u64 {
-        self.number_at(now, |underway| underway.requests)
+        self.estimate_at(now, |in_flight| in_flight.requests)
     }
 
     /// Tokens of KV cache that these probably hold.
     pub(crate) fn held_tokens(&self, now: Millis) -> u64 {
-        self.number_at(now, |underway| underway.held_tokens)
+        self.estimate_at(now, |in_flight| in_flight.held_tokens)
     }
 
     /// Prompt tokens that they probably have there to be prefilled.
     pub(crate) fn uncached(&self, now: Millis) -> ByRank {
         let mut uncached = ByRank::default();
-        for rank in ByRank::ranks() {
+        for engine_priority in ByRank::ranks() {
             uncached.add(
-                rank,
-                self.number_at(now, |there| there.uncached.of_rank(rank)),
+                engine_priority,
+                self.estimate_at(now, |reported| reported.uncached.of_rank(engine_priority)),
             );
         }
         uncached
@@ -127,15 +127,15 @@
 
     /// What one number probably is now. Asked of thousands of engines for one choice,
     /// of which nearly all have nothing.
-    fn number_at(&self, now: Millis, number: impl Fn(&Underway) -> u64) -> u64 {
-        let alike = self.alike.borrow();
-        let (there, mean) = (number(&self.there), number(&alike.mean));
-        if there == 0 && mean == 0 {
+    fn estimate_at(&self, now: Millis, value: impl Fn(&InFlight) -> u64) -> u64 {
+        let group = self.group.borrow();
+        let (reported, mean) = (value(&self.reported), value(&group.mean));
+        if reported == 0 && mean == 0 {
             return 0;
         }
-        let age = now.since(alike.heard_at);
-        let weight = (-age.as_secs_f64() / alike.halved.as_secs_f64().max(0.001)).exp2();
-        let part = |number: u64, weight: f64| (number as f64 * weight).round() as u64;
-        part(there, weight) + part(mean, 1.0 - weight)
+        let age = now.since(group.received_at);
+        let weight = (-age.as_secs_f64() / group.half_life.as_secs_f64().max(0.001)).exp2();
+        let weighted = |value: u64, weight: f64| (value as f64 * weight).round() as u64;
+        weighted(reported, weight) + weighted(mean, 1.0 - weight)
     }
 }
--- a/components/forwarding/src/placement.rs
+++ b/components/forwarding/src/placement.rs
@@ -5,23 +5,23 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use crate::backends::Backend;
-use crate::prefill_choice::{PrefillChoice, Search, cheapest_prefill};
+use crate::prefill_choice::{PrefillChoice, PrefillSearch, cheapest_prefill};
 use crate::residency::Residency;
 use crate::work::Prompt;
 
 /// Requests more than elsewhere that the own zone may have before work leaves
 /// it: another zone costs time and bytes.
-const ZONE_ADVANTAGE: u64 = 2;
+const ZONE_ADVANTAGE_REQUESTS: u64 = 2;
 /// An engine that generates prefills prompts at half the pace, and all that it
 /// generates comes slower meanwhile: each token that it prefills counts as so
 /// many that a prefill engine prefills.
-const MIXED_PREFILL_COST: u64 = 200;
+const MIXED_PREFILL_COST_FACTOR: u64 = 200;
 /// What handing a KV cache over costs, in prompt tokens that could be read in
 /// that time.
-const HANDOVER_TOKENS: u64 = 1_500;
+const HANDOVER_COST_TOKENS: u64 = 1_500;
 /// Tokens more than elsewhere that a decode engine in the zone of the prefill engine may
 /// hold before a KV cache leaves the zone.
-const MOVE_BETWEEN_ZONES: u64 = 100_000;
+const ZONE_MOVE_TOKENS: u64 = 100_000;
 /// Where a request goes.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Placement {
@@ -51,12 +51,12 @@
     /// Whether one engine may read the prompt for another.
     pub may_hand_over: bool,
     /// Whether back ends that failed lately are taken as well.
-    pub despite_failures: bool,
+    pub ignore_failures: bool,
     /// Whether back ends without a free connection are taken as well.
-    pub despite_connections: bool,
+    pub ignore_connections: bool,
     /// Whether any engine may read a prompt, in place of the owners of its
     /// prefix only.
-    pub anywhere: bool,
+    pub any_engine: bool,
     /// Prefill engines that are looked at for a prompt that none owns.
     pub sampled: usize,
     /// A number that differs from request to request, to part equals.
@@ -66,8 +66,8 @@
 impl PlacementContext<'_> {
     fn may_take(&self, backend: &Backend) -> bool {
         let id = &backend.registration.id;
-        backend.is_open(self.now, self.despite_failures)
-            && (self.despite_connections || backend.has_connection())
+        backend.is_open(self.now, self.ignore_failures)
+            && (self.ignore_connections || backend.has_connection())
             && !self.tried.contains(id)
             && (!backend.has_limit || self.limits.may_send(id, self.now))
     }
@@ -95,7 +95,7 @@
 ) -> Option<BackendId> {
     let cost = |backend: &&Backend| {
         let requests = backend.load.requests(context.now);
-        let away = u64::from(!context.is_local(backend)) * ZONE_ADVANTAGE;
+        let away = u64::from(!context.is_local(backend)) * ZONE_ADVANTAGE_REQUESTS;
         let id = backend.registration.id.as_str().as_bytes();
         let draw = xxh3_64_with_seed(id, context.draw);
         (!context.is_due(backend), requests + away, draw)
@@ -148,16 +148,16 @@
     } else {
         Vec::new()
     };
-    let search = Search {
-        anywhere: context.anywhere,
+    let search = PrefillSearch {
+        any_engine: context.any_engine,
         sampled: context.sampled,
         draw: context.draw,
         now: context.now,
     };
     let single = cheapest_prefill(&mixed, &[], prompt, search);
     let handover = cheapest_prefill(&prefill_engines, &open, prompt, search);
-    let single_cost = |prefill: &PrefillChoice<'_, '_>| prefill.cost * MIXED_PREFILL_COST;
-    let handover_cost = |prefill: &PrefillChoice<'_, '_>| prefill.cost + HANDOVER_TOKENS;
+    let single_cost = |prefill: &PrefillChoice<'_, '_>| prefill.cost * MIXED_PREFILL_COST_FACTOR;
+    let handover_cost = |prefill: &PrefillChoice<'_, '_>| prefill.cost + HANDOVER_COST_TOKENS;
     let by_two = |prefill: &PrefillChoice<'_, '_>| Placement::Handover {
         prefill_engine: prefill.engine.id().clone(),
         copy_from: prefill.source.map(|source| source.id().clone()),
@@ -186,7 +186,7 @@
         let away = u64::from(backend.registration.zone != prefill_zone);
         let id = backend.registration.id.as_str().as_bytes();
         let held = backend.load.held_tokens(context.now);
-        let cost = held + away * MOVE_BETWEEN_ZONES;
+        let cost = held + away * ZONE_MOVE_TOKENS;
         let draw = xxh3_64_with_seed(id, context.draw);
         (!context.is_due(backend), cost, draw)
     };
--- a/components/forwarding/src/prefill_choice.rs
+++ b/components/forwarding/src/prefill_choice.rs
@@ -13,24 +13,24 @@
 
 use crate::placement::EngineView;
 use crate::residency::Residency;
-use crate::work::{Prefix, Prompt, WORTHLESS_SHARED};
+use crate::work::{MAX_IGNORED_PREFIX_TOKENS, Prefix, Prompt};
 
 /// Engines at which a shared prefix may be kept.
-const OWNERS: usize = 2;
+const OWNER_COUNT: usize = 2;
 /// What keeping a prefix at another engine than its first owner costs all, also
 /// where it is copied: memory that others lose, and what is prefilled again for
 /// that. Each token that the engine lacks counts so many times more.
-const SPREADING_COST: u64 = 2;
+const SPREADING_COST_FACTOR: u64 = 2;
 /// A first owner that this gateway has not sent the prefix to lately holds
 /// it all the same, since the others send there too, but for this part.
-const DOUBT_PARTS: u64 = 4;
+const DOUBT_DIVISOR: u64 = 4;
 /// What it costs to begin a copy, in prompt tokens that could be prefilled in
 /// that time.
 const COPY_SETUP_TOKENS: u64 = 400;
 /// One token is prefilled in the time in which so many are copied.
-const COPIED_TOKENS_PER_READ_TOKEN: u64 = 16;
+const COPIED_TOKENS_PER_PREFILLED_TOKEN: u64 = 16;
 /// Copies between zones take so many times longer.
-const COPY_BETWEEN_ZONES: u64 = 2;
+const ZONE_COPY_FACTOR: u64 = 2;
 
 /// An engine that may prefill the prompt, and what that costs there.
 #[derive(Debug, Clone, Copy)]
@@ -45,9 +45,9 @@
 
 /// Who looks for a prefill engine.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Search {
+pub(crate) struct PrefillSearch {
     /// Whether all engines are looked at.
-    pub(crate) anywhere: bool,
+    pub(crate) any_engine: bool,
     /// Engines that are looked at for a prompt that none owns.
     pub(crate) sampled: usize,
     /// Differs from request to request and from gateway to gateway.
@@ -63,7 +63,7 @@
     engines: &[&'a EngineView<'b>],
     holders: &[&'a EngineView<'b>],
     prompt: &Prompt,
-    search: Search,
+    search: PrefillSearch,
 ) -> Option<PrefillChoice<'a, 'b>> {
     let now = search.now;
     let prefixes = prompt.prefixes();
@@ -81,7 +81,7 @@
             0
         } else {
             let lacking = prompt.tokens - held;
-            lacking.min(prompt.shared_tokens()) * SPREADING_COST
+            lacking.min(prompt.shared_tokens()) * SPREADING_COST_FACTOR
         };
         let queued = engine.backend.load.uncached_tokens(now);
         // What is prefilled here is waited for by all who are here.
@@ -107,13 +107,13 @@
     engines: &[&'a EngineView<'b>],
     owners: Vec<&'a EngineView<'b>>,
     prompt: &Prompt,
-    search: Search,
+    search: PrefillSearch,
 ) -> Vec<&'a EngineView<'b>> {
-    if search.anywhere || engines.len() <= OWNERS {
+    if search.any_engine || engines.len() <= OWNER_COUNT {
         return engines.to_vec();
     }
-    if prompt.shared_tokens() <= WORTHLESS_SHARED {
-        return first_by(engines, search.sampled.max(OWNERS), |engine| {
+    if prompt.shared_tokens() <= MAX_IGNORED_PREFIX_TOKENS {
+        return first_by(engines, search.sampled.max(OWNER_COUNT), |engine| {
             let id = engine.id().as_str().as_bytes();
             xxh3_64_with_seed(id, search.draw)
         });
@@ -124,7 +124,7 @@
 /// The owners of the prompt's shared prefix, the first one first.
 fn owners<'a, 'b>(engines: &[&'a EngineView<'b>], prompt: &Prompt) -> Vec<&'a EngineView<'b>> {
     let prefix = prompt.shared_prefix();
-    first_by(engines, OWNERS, |engine| {
+    first_by(engines, OWNER_COUNT, |engine| {
         let id = engine.id().as_str().as_bytes();
         Reverse(xxh3_64_with_seed(id, prefix.0))
     })
@@ -143,8 +143,8 @@
         if first.len() == count && first.last().is_some_and(|(last, _)| *last <= key) {
             continue;
         }
-        let place = first.partition_point(|(other, _)| *other <= key);
-        first.insert(place, (key, engine));
+        let position = first.partition_point(|(existing, _)| *existing <= key);
+        first.insert(position, (key, engine));
         first.truncate(count);
     }
     first.into_iter().map(|(_, engine)| engine).collect()
@@ -155,13 +155,13 @@
     engine.residency.map_or(0, held)
 }
 
-/// See [`DOUBT_PARTS`].
+/// See [`DOUBT_DIVISOR`].
 fn likely_tokens(prompt: &Prompt, first_owner: bool) -> u64 {
     if !first_owner {
         return 0;
     }
     let shared = prompt.shared_tokens();
-    shared - shared / DOUBT_PARTS
+    shared - shared / DOUBT_DIVISOR
 }
 
 /// An engine that the prefix can be copied from.
@@ -210,10 +210,12 @@
             source: Some(source.engine),
         }
     };
-    let others = sources
+    let other_sources = sources
         .iter()
         .filter(|source| source.engine.id() != engine.id());
-    let cheapest = others.map(copying).min_by_key(|copy| copy.left + copy.cost);
+    let cheapest = other_sources
+        .map(copying)
+        .min_by_key(|copy| copy.left + copy.cost);
     cheapest
         .filter(|copy| copy.left + copy.cost < uncached)
         .unwrap_or(Copy {
@@ -225,6 +227,6 @@
 
 fn copy_cost(to: &EngineView<'_>, from: &EngineView<'_>, tokens: u64) -> u64 {
     let near = to.backend.registration.zone == from.backend.registration.zone;
-    let times = if near { 1 } else { COPY_BETWEEN_ZONES };
-    COPY_SETUP_TOKENS + times * tokens / COPIED_TOKENS_PER_READ_TOKEN
+    let times = if near { 1 } else { ZONE_COPY_FACTOR };
+    COPY_SETUP_TOKENS + times * tokens / COPIED_TOKENS_PER_PREFILLED_TOKEN
 }
--- a/components/forwarding/src/residency.rs
+++ b/components/forwarding/src/residency.rs
@@ -6,31 +6,31 @@
 
 use garnet_types::{Millis, PrefixId};
 
-use crate::work::{Prefix, Prompt, WORTHLESS_SHARED};
+use crate::work::{MAX_IGNORED_PREFIX_TOKENS, Prefix, Prompt};
 
 /// Beginnings that are remembered of one engine; the oldest go first.
-const MOST_PREFIXES: usize = 512;
+const MAX_PREFIXES: usize = 512;
 /// A prefix that was not used for so long may have given way.
-const BELIEVED_FOR: Millis = Millis::from_secs(30);
+const RESIDENT_LIFETIME: Millis = Millis::from_secs(30);
 /// A prefix that was not used for so long is not worth asking for a copy.
-const COPYABLE_FOR: Millis = Millis::from_secs(10);
+const COPYABLE_LIFETIME: Millis = Millis::from_secs(10);
 /// The other gateways are told again of a prefix after so long.
-const TOLD_FOR: Millis = Millis::from_secs(5);
+const PUBLISH_INTERVAL: Millis = Millis::from_secs(5);
 
 /// What is believed of one prefix.
 #[derive(Debug, Clone, Copy)]
-struct Belief {
+struct PrefixState {
     used_at: Millis,
     /// Whether it was prefilled to its end; until then it can't be copied.
-    is_read: bool,
+    is_prefilled: bool,
     /// When a gateway told the others, this one or another.
-    told_at: Option<Millis>,
+    published_at: Option<Millis>,
 }
 
 /// Beliefs about the prefix cache of one engine.
 #[derive(Debug, Clone, Default)]
 pub struct Residency {
-    beliefs: HashMap<PrefixId, Belief>,
+    states: HashMap<PrefixId, PrefixState>,
     /// How long engines like this one keep what nobody uses, where that is known.
     lifetime: Rc<Cell<Option<Millis>>>,
 }
@@ -41,7 +41,7 @@
         for prefix in prompt.prefixes() {
             self.note(prefix.id, now);
         }
-        self.forget_old(now);
+        self.evict_old(now);
     }
 
     /// Notes that the engine holds the whole prompt now. Gives the shared
@@ -49,42 +49,44 @@
     pub fn note_prefilled(&mut self, prompt: &Prompt, now: Millis) -> Vec<PrefixId> {
         let prefixes = prompt.prefixes();
         let shared = prefixes.len().saturating_sub(1);
-        let mut news = Vec::new();
-        for (place, prefix) in prefixes.into_iter().enumerate() {
-            let belief = self.note(prefix.id, now);
-            belief.is_read = true;
-            let known = belief.told_at.is_some_and(|at| now.since(at) <= TOLD_FOR);
-            let is_worth_it = prefix.tokens > WORTHLESS_SHARED;
-            if place < shared && is_worth_it && !known {
-                belief.told_at = Some(now);
-                news.push(prefix.id);
+        let mut to_publish = Vec::new();
+        for (position, prefix) in prefixes.into_iter().enumerate() {
+            let state = self.note(prefix.id, now);
+            state.is_prefilled = true;
+            let is_published = state
+                .published_at
+                .is_some_and(|at| now.since(at) <= PUBLISH_INTERVAL);
+            let is_long_enough = prefix.tokens > MAX_IGNORED_PREFIX_TOKENS;
+            if position < shared && is_long_enough && !is_published {
+                state.published_at = Some(now);
+                to_publish.push(prefix.id);
             }
         }
-        self.forget_old(now);
-        news
+        self.evict_old(now);
+        to_publish
     }
 
     /// Notes what another gateway told.
     pub fn note_reported(&mut self, prefix: PrefixId, now: Millis) {
-        let belief = self.note(prefix, now);
-        belief.is_read = true;
-        belief.told_at = Some(now);
-        self.forget_old(now);
+        let state = self.note(prefix, now);
+        state.is_prefilled = true;
+        state.published_at = Some(now);
+        self.evict_old(now);
     }
 
     /// Tokens of the prompt with these prefixes that the engine is believed to
     /// hold, or to have read before this prompt's turn comes.
     pub fn held_tokens(&self, prefixes: &[Prefix], now: Millis) -> u64 {
-        let limit = self.at_most(BELIEVED_FOR);
-        self.tokens(prefixes, |belief| now.since(belief.used_at) <= limit)
+        let limit = self.bounded_by_lifetime(RESIDENT_LIFETIME);
+        self.tokens(prefixes, |state| now.since(state.used_at) <= limit)
     }
 
     /// Tokens of the prompt with these prefixes that can be copied from the
     /// engine.
     pub fn copyable_tokens(&self, prefixes: &[Prefix], now: Millis) -> u64 {
-        let limit = self.at_most(COPYABLE_FOR);
-        self.tokens(prefixes, |belief| {
-            belief.is_read && now.since(belief.used_at) < limit
+        let limit = self.bounded_by_lifetime(COPYABLE_LIFETIME);
+        self.tokens(prefixes, |state| {
+            state.is_prefilled && now.since(state.used_at) < limit
         })
     }
 
@@ -101,36 +103,36 @@
         self.lifetime = lifetime;
     }
 
-    fn at_most(&self, limit: Millis) -> Millis {
+    fn bounded_by_lifetime(&self, limit: Millis) -> Millis {
         self.lifetime
             .get()
             .map_or(limit, |lifetime| lifetime.min(limit))
     }
 
-    fn tokens(&self, prefixes: &[Prefix], counts: impl Fn(&Belief) -> bool) -> u64 {
-        let believed = |prefix: &&Prefix| self.beliefs.get(&prefix.id).is_some_and(&counts);
-        let held = prefixes.iter().take_while(believed);
+    fn tokens(&self, prefixes: &[Prefix], counts: impl Fn(&PrefixState) -> bool) -> u64 {
+        let is_held = |prefix: &&Prefix| self.states.get(&prefix.id).is_some_and(&counts);
+        let held = prefixes.iter().take_while(is_held);
         held.last().map_or(0, |prefix| prefix.tokens)
     }
 
-    fn note(&mut self, prefix: PrefixId, now: Millis) -> &mut Belief {
-        let belief = self.beliefs.entry(prefix).or_insert(Belief {
+    fn note(&mut self, prefix: PrefixId, now: Millis) -> &mut PrefixState {
+        let state = self.states.entry(prefix).or_insert(PrefixState {
             used_at: now,
-            is_read: false,
-            told_at: None,
+            is_prefilled: false,
+            published_at: None,
         });
-        belief.used_at = now;
-        belief
+        state.used_at = now;
+        state
     }
 
-    fn forget_old(&mut self, now: Millis) {
-        if self.beliefs.len() <= MOST_PREFIXES {
+    fn evict_old(&mut self, now: Millis) {
+        if self.states.len() <= MAX_PREFIXES {
             return;
         }
-        let age = |belief: &Belief| now.since(belief.used_at);
-        let mut ages: Vec<Millis> = self.beliefs.values().map(age).collect();
+        let age = |state: &PrefixState| now.since(state.used_at);
+        let mut ages: Vec<Millis> = self.states.values().map(age).collect();
         ages.sort_unstable();
-        let limit = ages[MOST_PREFIXES / 2];
-        self.beliefs.retain(|_, belief| age(belief) <= limit);
+        let limit = ages[MAX_PREFIXES / 2];
+        self.states.retain(|_, state| age(state) <= limit);
     }
 }
--- a/components/forwarding/src/share.rs
+++ b/components/forwarding/src/retry_budget.rs
@@ -25,9 +25,9 @@
 
 /// Part of the allowance that is used: gateways come and go, and a count that
 /// is a moment old must not lead past it.
-const SAFE_PART: f64 = 0.75;
+const SAFE_FRACTION: f64 = 0.75;
 /// Part of the fixed number that a gateway may use as soon as it starts.
-const FIRST_PART: f64 = 0.4;
+const INITIAL_FRACTION: f64 = 0.4;
 /// Slots that a window is counted in.
 const SLOTS: u64 = 20;
 
@@ -49,7 +49,7 @@
 impl ServiceBudget {
     /// A budget that begins now. What a former life of the gateway spent is not
     /// known, so a part of the fixed number comes in over one window.
-    pub(crate) fn beginning_at(now: Millis) -> Self {
+    pub(crate) fn starting_at(now: Millis) -> Self {
         ServiceBudget {
             began_at: now,
             slots: VecDeque::new(),
@@ -57,15 +57,15 @@
     }
 
     /// Notes a first attempt.
-    pub(crate) fn earn(&mut self, share: &SharedRetryBudget, now: Millis) {
-        self.present_slot(share, now).requests += 1;
+    pub(crate) fn earn(&mut self, budget: &SharedRetryBudget, now: Millis) {
+        self.present_slot(budget, now).requests += 1;
     }
 
     /// Takes one repeat; `false` when none is left.
-    pub(crate) fn spend(&mut self, share: &SharedRetryBudget, gateways: u64, now: Millis) -> bool {
-        let allowed = self.has_left(share, gateways, now);
+    pub(crate) fn spend(&mut self, budget: &SharedRetryBudget, gateways: u64, now: Millis) -> bool {
+        let allowed = self.has_left(budget, gateways, now);
         if allowed {
-            self.present_slot(share, now).repeats += 1;
+            self.present_slot(budget, now).repeats += 1;
         }
         allowed
     }
@@ -73,35 +73,36 @@
     /// Whether a repeat is left.
     pub(crate) fn has_left(
         &mut self,
-        share: &SharedRetryBudget,
+        budget: &SharedRetryBudget,
         gateways: u64,
         now: Millis,
     ) -> bool {
-        self.present_slot(share, now);
+        self.present_slot(budget, now);
         let spent: u64 = self.slots.iter().map(|slot| slot.repeats).sum();
-        spent as f64 + 1.0 <= self.allowance(share, gateways, now)
+        spent as f64 + 1.0 <= self.allowance(budget, gateways, now)
     }
 
-    fn allowance(&self, share: &SharedRetryBudget, gateways: u64, now: Millis) -> f64 {
-        let present = slot_number(share, now);
+    fn allowance(&self, budget: &SharedRetryBudget, gateways: u64, now: Millis) -> f64 {
+        let present = slot_number(budget, now);
         // The oldest slot lies in the window in part: its repeats count, its
         // requests do not.
-        let whole = |slot: &&Slot| slot.number + SLOTS > present;
+        let fully_inside = |slot: &&Slot| slot.number + SLOTS > present;
         let requests: u64 = self
             .slots
             .iter()
-            .filter(whole)
+            .filter(fully_inside)
             .map(|slot| slot.requests)
             .sum();
-        let known_for = now.since(self.began_at).0 as f64 / share.window.0.max(1) as f64;
-        let extra = share.extra / gateways.max(1) as f64 * known_for.clamp(FIRST_PART, 1.0);
-        SAFE_PART * (share.per_request * requests as f64 + extra)
+        let observed_windows = now.since(self.began_at).0 as f64 / budget.window.0.max(1) as f64;
+        let extra =
+            budget.extra / gateways.max(1) as f64 * observed_windows.clamp(INITIAL_FRACTION, 1.0);
+        SAFE_FRACTION * (budget.per_request * requests as f64 + extra)
     }
 
-    fn present_slot(&mut self, share: &SharedRetryBudget, now: Millis) -> &mut Slot {
-        let number = slot_number(share, now);
-        let is_over = |slot: &Slot| slot.number + SLOTS < number;
-        while self.slots.front().is_some_and(is_over) {
+    fn present_slot(&mut self, budget: &SharedRetryBudget, now: Millis) -> &mut Slot {
+        let number = slot_number(budget, now);
+        let is_expired = |slot: &Slot| slot.number + SLOTS < number;
+        while self.slots.front().is_some_and(is_expired) {
             self.slots.pop_front();
         }
         let is_present = self.slots.back().is_some_and(|slot| slot.number == number);
@@ -117,6 +118,6 @@
     }
 }
 
-fn slot_number(share: &SharedRetryBudget, now: Millis) -> u64 {
-    now.0 * SLOTS / share.window.0.max(1)
+fn slot_number(budget: &SharedRetryBudget, now: Millis) -> u64 {
+    now.0 * SLOTS / budget.window.0.max(1)
 }
--- a/components/forwarding/src/silence.rs
+++ b/components/forwarding/src/silence.rs
@@ -10,7 +10,7 @@
 use garnet_types::Millis;
 
 /// Shortest limit: below this a slow moment looks like silence.
-const SHORTEST: Millis = Millis(60);
+const MIN_LIMIT: Millis = Millis(60);
 /// Pause of a stream that is taken for granted where its route states none.
 const DEFAULT_PAUSE: Millis = Millis(400);
 
@@ -26,11 +26,11 @@
 impl SilenceLimits {
     /// The limits that a route's objectives give.
     pub fn of(route: &Route) -> Self {
-        let part = |span: Millis, percent: u64| Millis(span.0 * percent / 100).max(SHORTEST);
+        let fraction = |span: Millis, percent: u64| Millis(span.0 * percent / 100).max(MIN_LIMIT);
         let pause = route.pause_objective_ms.unwrap_or(DEFAULT_PAUSE);
         SilenceLimits {
-            answer: part(route.objective_ms, 90),
-            pause: part(pause, 130),
+            answer: fraction(route.objective_ms, 90),
+            pause: fraction(pause, 130),
         }
     }
 }
--- a/components/forwarding/src/usage.rs
+++ b/components/forwarding/src/usage.rs
@@ -16,7 +16,7 @@
     /// As many of them as are known to stand in the log.
     logged: u64,
     /// Number of the first report that told the present count.
-    told_in: Option<u64>,
+    first_report: Option<u64>,
 }
 
 /// The meter of one gateway.
@@ -49,12 +49,12 @@
         let window = UsageWindow::at(time, self.window_length);
         let count = self.counts.entry((window, tenant.clone())).or_default();
         count.requests += 1;
-        count.told_in = None;
+        count.first_report = None;
     }
 
     /// Whether there is anything that is not known to stand in the log.
     pub fn has_unlogged(&self) -> bool {
-        self.counts.values().any(Count::is_news)
+        self.counts.values().any(Count::is_unlogged)
     }
 
     /// Requests that are not known to stand in the log: what is lost with this
@@ -67,9 +67,12 @@
     pub fn report(&mut self) -> UsageReport {
         self.number += 1;
         let number = self.number;
-        let news = self.counts.iter_mut().filter(|(_, count)| count.is_news());
-        let tell = |((window, tenant), count): (&(UsageWindow, TenantId), &mut Count)| {
-            count.told_in.get_or_insert(number);
+        let unlogged_counts = self
+            .counts
+            .iter_mut()
+            .filter(|(_, count)| count.is_unlogged());
+        let to_usage_count = |((window, tenant), count): (&(UsageWindow, TenantId), &mut Count)| {
+            count.first_report.get_or_insert(number);
             UsageCount {
                 window: *window,
                 tenant: tenant.clone(),
@@ -79,7 +82,7 @@
         UsageReport {
             gateway: self.gateway.clone(),
             number,
-            counts: news.map(tell).collect(),
+            counts: unlogged_counts.map(to_usage_count).collect(),
         }
     }
 
@@ -88,7 +91,10 @@
     pub fn take(&mut self, receipt: &UsageReceipt, now: Millis) -> u64 {
         self.clock_behind_ms = receipt.time.0 as i64 - now.0 as i64;
         for count in self.counts.values_mut() {
-            if count.told_in.is_some_and(|number| number <= receipt.logged) {
+            if count
+                .first_report
+                .is_some_and(|number| number <= receipt.logged)
+            {
                 count.logged = count.requests;
             }
         }
@@ -106,7 +112,7 @@
         self.requests - self.logged
     }
 
-    fn is_news(&self) -> bool {
+    fn is_unlogged(&self) -> bool {
         self.unlogged() > 0
     }
 }
--- a/components/forwarding/src/work.rs
+++ b/components/forwarding/src/work.rs
@@ -26,7 +26,7 @@
 
 /// Shared prefixes up to this many tokens are not worth a place of their own:
 /// any prefill engine takes them.
-pub(crate) const WORTHLESS_SHARED: u64 = 1_000;
+pub(crate) const MAX_IGNORED_PREFIX_TOKENS: u64 = 1_000;
 
 /// What is known of a prompt.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
