--- a/components/forwarding/src/access.rs
+++ b/components/forwarding/src/access.rs
@@ -1,35 +1,35 @@
-//! Whether a caller may send a request, by the key that it presents.
+//! Authorization of requests by the API key that the caller presents.
 //!
-//! Decided for each request anew, by the table in force when it comes: a key
-//! that is withdrawn while its connection stays open opens nothing more.
+//! Each request is checked against the route table in force when it arrives, so a
+//! withdrawn key stops working on connections that are already open.
 
 use garnet_routes::{ApiKey, Route, RouteIndex, Tenant};
 
-/// What a caller presents to prove who it is.
+/// The credential of a caller.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub enum Credential {
-    /// Nothing.
+    /// No credential.
     #[default]
     Missing,
-    /// Something that holds no key, or several.
+    /// A credential that holds no key, or several.
     Malformed,
-    /// A key.
+    /// An API key.
     Key(ApiKey),
 }
 
-/// Why a request is not let in.
+/// Why a request is denied.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AccessDenied {
-    /// There is no key.
+    /// The request has no key.
     Missing,
-    /// What is there is no key.
+    /// The credential can't be parsed as one key.
     Malformed,
-    /// No tenant holds the key.
+    /// The key belongs to no tenant.
     Unknown,
 }
 
 impl AccessDenied {
-    /// Name in logs and metrics.
+    /// The name in logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             AccessDenied::Missing => "key_missing",
@@ -39,8 +39,8 @@
     }
 }
 
-/// The tenant of a request on `route`; `None` where nobody is asked for a key,
-/// and on a public route for a caller without a known one.
+/// Returns the tenant of a request on `route`. `None` if the route table requires no
+/// keys, or if the route is public and the caller has no known key.
 pub(crate) fn authorize<'a>(
     routes: &'a RouteIndex,
     route: &Route,
--- a/components/forwarding/src/admission.rs
+++ b/components/forwarding/src/admission.rs
@@ -1,108 +1,109 @@
-//! Whether a request is sent to an engine now, after all others, or not at all.
+//! Admission control: a request is sent to an engine now, deferred behind all other work, or
+//! refused.
 //!
-//! An engine that has more to read than it can in the time in which answers
-//! are useful makes all of them late. What can't be in time is prefilled after what
-//! can, so that it makes nobody else late; what would end before it begins is
-//! refused at once, with the time to come back. Where the places to generate
-//! are taken, waiting would be in vain: who has not been here before is told
-//! when one will be free.
+//! An engine with more queued prefill than it can finish while answers are still useful
+//! makes all of them late. A request that can't be in time is therefore prefilled after
+//! those that can, so that it delays no other. A request whose caller would give up
+//! before its first token is refused at once, with a time to retry after. If no decode
+//! slot is free, waiting is wasted: a caller that has not retried yet is told when a slot
+//! will be free.
 
 use garnet_types::Millis;
 
-/// What is predicted of a request at its best engines.
+/// The predicted times of a request at its best engines.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) struct Prediction {
-    /// Time of the prefill alone.
-    pub(crate) alone_ms: f64,
-    /// Wait for prompts of its rank and of more urgent ones.
+    /// Time of the request's own prefill.
+    pub(crate) prefill_ms: f64,
+    /// Wait for queued prompts of the same or a more urgent engine priority.
     pub(crate) ahead_ms: f64,
-    /// Wait for all prompts that are queued.
+    /// Wait for all queued prompts.
     pub(crate) all_queued_ms: f64,
-    /// Wait for a place to generate.
+    /// Wait for a decode slot.
     pub(crate) slot_ms: f64,
-    /// Time in which the places are taken by callers who were told to come
-    /// back.
+    /// Time for which decode slots will be taken by callers that were told to retry.
     pub(crate) retries_ms: f64,
 }
 
-/// Callers who were told to come back, and when.
+/// The callers that were told to retry, by the time when each is due.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct PendingRetries {
     due: Vec<Millis>,
 }
 
 impl PendingRetries {
-    /// Notes a caller who comes back at `due`.
+    /// Adds a caller that is due to retry at `due`.
     pub(crate) fn add(&mut self, due: Millis, now: Millis) {
         self.due.retain(|due| *due > now);
         self.due.push(due);
     }
 
-    /// Callers who are still to come.
+    /// The number of callers that are still to retry.
     pub(crate) fn pending(&self, now: Millis) -> usize {
         self.due.iter().filter(|due| **due > now).count()
     }
 }
 
-/// A request that asks to be sent.
+/// The times of a request that asks for admission.
 #[derive(Debug, Clone, Copy)]
 pub struct Arrival {
-    /// Time since it came.
+    /// Time since the request arrived.
     pub waited: Millis,
-    /// Time that its caller waits from now on for the first event.
+    /// Time for which the caller still waits for the first event.
     pub remaining: Millis,
-    /// Time that its caller waits from now on for the whole answer.
+    /// Time for which the caller still waits for the whole answer.
     pub deadline: Millis,
-    /// Whether the caller's time was used in part when it came: it was here
-    /// before.
+    /// Whether the request is a retry: a part of the caller's time was already used when
+    /// it arrived.
     pub is_retry: bool,
 }
 
 /// The decision on one request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Admission {
-    /// Send it.
+    /// Send the request.
     Admit,
-    /// Send it to be prefilled after all that may still be in time.
+    /// Send the request with the lowest priority, after all that may still be in time.
     Defer,
-    /// Refuse it.
+    /// Refuse the request.
     Refuse {
-        /// When to come back.
+        /// When the caller should retry.
         retry_after: Millis,
         /// Predicted time to the first event.
         predicted: Millis,
     },
 }
 
-/// A wait below this part of the objective is none: nothing is deferred or
+/// Fraction of the objective. Below it a wait doesn't count: nothing is deferred or
 /// refused while engines are free.
 const SHORT_WAIT_FRACTION: f64 = 0.25;
-/// A request is taken for late when so many objectives are predicted: half of
-/// those that are predicted to be just late are in time, and deferring one of
-/// these costs more than prefilling one that is late.
+/// Multiple of the objective above which a predicted time counts as late. Half of the
+/// requests that are predicted to be just late are in time, and deferring one of these
+/// costs more than prefilling one that is late.
 const LATE_FACTOR: f64 = 1.5;
-/// Callers come back within this part of the time that they have left.
+/// Fraction of the caller's remaining time within which it is asked to retry.
 const MAX_RETRY_FRACTION: f64 = 0.3;
-/// Who comes back finds this part of the objective used by others.
-const RETRY_OBJECTIVE_FRACTION: f64 = 0.5;
-/// Shortest time after which a caller may come again.
+/// Fraction of the objective that queued work may still take up when the caller retries.
+const RETRY_QUEUE_FRACTION: f64 = 0.5;
+/// Shortest time after which a caller is asked to retry.
 pub const MIN_RETRY_AFTER: Millis = Millis(50);
 
 /// Decides on a request whose first event is useful within `objective`.
 pub(crate) fn admit(prediction: &Prediction, objective: Millis, arrival: &Arrival) -> Admission {
     let objective_ms = objective.0 as f64;
     let wait_ms = prediction.ahead_ms + prediction.slot_ms;
-    let in_time_ms = arrival.waited.0 as f64 + prediction.alone_ms + wait_ms;
-    if wait_ms <= objective_ms * SHORT_WAIT_FRACTION || in_time_ms <= objective_ms * LATE_FACTOR {
+    let first_token_ms = arrival.waited.0 as f64 + prediction.prefill_ms + wait_ms;
+    if wait_ms <= objective_ms * SHORT_WAIT_FRACTION || first_token_ms <= objective_ms * LATE_FACTOR
+    {
         return Admission::Admit;
     }
-    let deferred_ms = prediction.alone_ms + prediction.all_queued_ms + prediction.slot_ms;
-    let is_hopeless = deferred_ms > arrival.remaining.0 as f64;
-    let waits_for_place = prediction.slot_ms > objective_ms * SHORT_WAIT_FRACTION;
-    if !is_hopeless && (arrival.is_retry || !waits_for_place) {
+    let deferred_ms = prediction.prefill_ms + prediction.all_queued_ms + prediction.slot_ms;
+    let would_time_out = deferred_ms > arrival.remaining.0 as f64;
+    let waits_for_slot = prediction.slot_ms > objective_ms * SHORT_WAIT_FRACTION;
+    if !would_time_out && (arrival.is_retry || !waits_for_slot) {
         return Admission::Defer;
     }
-    let excess_ms = in_time_ms + prediction.retries_ms - objective_ms * RETRY_OBJECTIVE_FRACTION;
+    let excess_ms = first_token_ms + prediction.retries_ms - objective_ms * RETRY_QUEUE_FRACTION;
     let longest = Millis((arrival.deadline.0 as f64 * MAX_RETRY_FRACTION) as u64);
     Admission::Refuse {
         retry_after: Millis(excess_ms as u64).min(longest).max(MIN_RETRY_AFTER),
--- a/components/forwarding/src/attempts.rs
+++ b/components/forwarding/src/attempts.rs
@@ -1,27 +1,27 @@
-//! What the end of an attempt means for the request.
+//! Decides what the end of an attempt means for its request.
 
 use crate::work::Work;
 
-/// Back ends that may turn a request away before it is given up.
+/// Number of back ends that may reject a request before it is given up.
 const MAX_REJECTIONS: u32 = 3;
-/// Back ends that may be found unreachable before it is given up.
+/// Number of back ends that may be unreachable before a request is given up.
 const MAX_UNREACHABLE: u32 = 4;
 
 /// Why a back end did not run a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NotRunReason {
-    /// It has no room.
+    /// The back end has no free capacity.
     Full,
-    /// Another back end stands at its address now, or it has another role.
+    /// Another back end listens at the address now, or the back end has another role.
     Misdirected,
-    /// The KV cache that the request was to go on from can't be had.
+    /// The KV cache from which the request was to resume is not available.
     CacheGone,
-    /// It refuses the request for another reason.
+    /// The back end rejects the request for another reason.
     Refused,
 }
 
 impl NotRunReason {
-    /// Name in logs and metrics.
+    /// The name in logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             NotRunReason::Full => "full",
@@ -37,16 +37,16 @@
 pub enum AttemptEnd {
     /// No byte of the request can have arrived.
     Unsent,
-    /// The back end said that it did not run it.
+    /// The back end reported that it did not run the request.
     NotRun(NotRunReason),
-    /// It may have run, and no whole answer came.
+    /// The request may have run, and no complete answer arrived.
     Broken,
-    /// It ran and failed; the back end's own answer says so.
+    /// The request ran and failed, as the back end's own answer reports.
     Failed,
 }
 
 impl AttemptEnd {
-    /// Name in logs and metrics.
+    /// The name in logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             AttemptEnd::Unsent => "unsent",
@@ -57,21 +57,21 @@
     }
 }
 
-/// What became of a request so far.
+/// The attempts of a request so far.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Progress {
     /// Attempts that ran or may have run.
     pub ran: u32,
-    /// Attempts that a back end turned away.
+    /// Attempts that a back end rejected.
     pub rejected: u32,
     /// Attempts that did not reach their back end.
     pub unreachable: u32,
-    /// Attempts whose back end is silent, and which are kept beside the next one.
+    /// Attempts whose back end is silent, and which stay open beside the next attempt.
     pub silent: u32,
 }
 
 impl Progress {
-    /// Notes the end of an attempt.
+    /// Counts the end of an attempt.
     pub fn note(&mut self, end: AttemptEnd) {
         match end {
             AttemptEnd::Unsent => self.unreachable += 1,
@@ -80,28 +80,29 @@
         }
     }
 
-    /// Notes that a back end is silent and another one is asked beside it.
+    /// Counts an attempt whose back end is silent, while another back end is tried beside
+    /// it.
     pub fn note_silent(&mut self) {
         self.silent += 1;
     }
 
-    /// Notes that a back end that was kept is the one to answer again.
+    /// Records that a silent attempt became the one to answer again.
     pub fn silent_resumed(&mut self) {
         self.silent = self.silent.saturating_sub(1);
     }
 
-    /// Notes that a back end that was kept is out of it.
+    /// Records that a silent attempt ended.
     pub fn silent_ended(&mut self) {
         self.silent_resumed();
         self.ran += 1;
     }
 
-    /// Whether the request surely has not run.
+    /// Whether the request has certainly not run.
     pub fn surely_not_run(&self) -> bool {
         self.ran == 0 && self.silent == 0
     }
 
-    /// What giving the request up means now.
+    /// What giving up the request now tells the caller.
     pub fn given_up(&self) -> GivenUp {
         if self.surely_not_run() {
             GivenUp::NotRun
@@ -110,39 +111,40 @@
         }
     }
 
-    /// Whether another arrival would be a repeat.
+    /// Whether a further attempt would be a repeat: a back end was reached before.
     pub fn has_arrived(&self) -> bool {
         self.ran + self.rejected + self.silent > 0
     }
 }
 
-/// Why a request is given up.
+/// What a caller is told about a request that is given up.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum GivenUp {
-    /// It has not run and will not: the caller may come again.
+    /// The request has not run and will not run: the caller may retry it.
     NotRun,
-    /// It may have run.
+    /// The request may have run.
     InDoubt,
 }
 
 /// What to do after an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NextMove {
-    /// Try another back end. `repeat` attempts need room in the budget.
+    /// Try another back end. A `repeat` needs room in the retry budget.
     TryAnother {
         /// Whether a back end was reached before.
         repeat: bool,
     },
-    /// Pass the back end's own failure on.
+    /// Pass the back end's own failure on to the caller.
     PassOn,
-    /// Give it up.
+    /// Give up the request.
     GiveUp(GivenUp),
 }
 
-/// Decides after an attempt that ended with `end`; `progress` counts it.
+/// Decides what to do after an attempt that ended with `end`, which `progress` already
+/// counts.
 ///
-/// Invariant: work that may run at most once is tried again only when every
-/// attempt before surely did not run.
+/// Invariant: work that may run at most once is retried only if all earlier attempts have
+/// certainly not run.
 pub fn next_move(work: &Work, progress: &Progress, end: AttemptEnd) -> NextMove {
     let repeat = progress.has_arrived();
     let may_retry = progress.surely_not_run() || work.kind.may_repeat();
--- a/components/forwarding/src/backend_groups.rs
+++ b/components/forwarding/src/backend_groups.rs
@@ -1,7 +1,8 @@
-//! The back ends that are known: their positions, and who does the same work.
+//! The known back ends by position, and by group: a group holds the back ends of one
+//! service and role.
 //!
-//! Contract: made anew when back ends come or go, and kept while they only change,
-//! so that hearing of some of them costs nothing for the others.
+//! Contract: rebuilt when back ends are added or removed, and kept when they only change,
+//! so that an update of some back ends costs nothing for the others.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -13,26 +14,26 @@
 use crate::backends::Backend;
 use crate::peer_load::GroupLoad;
 
-/// Names back ends that do the same work.
+/// Key of a group: the service, and the role of an engine.
 pub(crate) type GroupKey = (ServiceId, Option<EngineRole>);
 
-/// Whom a back end is like.
+/// Returns the key of the group of a back end.
 pub(crate) fn group_key(backend: &Backend) -> GroupKey {
     (backend.registration.service.clone(), backend.role)
 }
 
-/// Back ends that do the same work.
+/// The back ends of one service and role.
 #[derive(Debug, Default)]
 pub(crate) struct BackendGroup {
-    /// What is believed of all of them.
+    /// Load estimate that all members share.
     pub(crate) estimate: Rc<RefCell<GroupLoad>>,
-    /// How many there are.
+    /// Number of members.
     pub(crate) count: usize,
-    /// How long they keep what nobody uses, where that is known.
+    /// How long members keep an unused prefix, if known.
     pub(crate) cache_lifetime: Rc<Cell<Option<Millis>>>,
 }
 
-/// All back ends by their position and by the work that they do.
+/// All back ends by position and by group.
 #[derive(Debug, Default)]
 pub(crate) struct BackendGroups {
     positions: Vec<BackendId>,
@@ -41,8 +42,8 @@
 }
 
 impl BackendGroups {
-    /// Follows a change of who is known. What was believed of back ends that do
-    /// the same work is kept.
+    /// Rebuilds positions and groups after back ends were added or removed. The load
+    /// estimate of a group that still has members is kept.
     pub(crate) fn update_members(&mut self, backends: &mut BTreeMap<BackendId, Backend>) {
         self.positions = backends.keys().cloned().collect();
         self.members = MembersHash::of(backends.keys());
@@ -55,7 +56,7 @@
         self.groups.retain(|_, group| group.count > 0);
     }
 
-    /// Follows a back end that does another work than it `did`.
+    /// Moves a back end from the group with `old_key` to its present group.
     pub(crate) fn update_group(&mut self, old_key: &GroupKey, backend: &mut Backend) {
         if *old_key == group_key(backend) {
             return;
@@ -72,7 +73,7 @@
         backend.load.peers_mut().join(&group.estimate);
     }
 
-    /// Names all back ends in their order.
+    /// Hash over the ids of all back ends in their order.
     pub(crate) fn members(&self) -> MembersHash {
         self.members
     }
@@ -82,13 +83,14 @@
         self.positions.get(position)
     }
 
-    /// How long the like of a back end keep what nobody uses: one value for all.
+    /// How long engines of the group keep an unused prefix: one cell that all members
+    /// share.
     pub(crate) fn cache_lifetime(&self, backend: &Backend) -> Rc<Cell<Option<Millis>>> {
         let group = self.groups.get(&group_key(backend));
         group.map_or_else(Rc::default, |group| Rc::clone(&group.cache_lifetime))
     }
 
-    /// All kinds of work.
+    /// All groups with their keys.
     pub(crate) fn iter(&self) -> impl Iterator<Item = (&GroupKey, &BackendGroup)> {
         self.groups.iter()
     }
--- a/components/forwarding/src/backends.rs
+++ b/components/forwarding/src/backends.rs
@@ -1,4 +1,4 @@
-//! What a gateway believes of one back end.
+//! A gateway's estimate of the state of one back end.
 
 use garnet_control::{BackendRecord, BackendRegistration, Backlog, ByRank, UNTOLD_START};
 use garnet_routing::{Availability, CircuitBreaker};
@@ -8,12 +8,12 @@
 use crate::peer_load::PeerLoad;
 use crate::work::Prompt;
 
-/// A load report older than this is not believed any more.
+/// A load report older than this is ignored.
 const REPORT_LIFETIME: Millis = Millis(2000);
-/// How long the leader's word on a failing back end holds without another.
+/// How long the leader's statement that a back end fails holds without being renewed.
 const FAILING_LIFETIME: Millis = Millis::from_secs(3);
 
-/// Load as a back end tells it with an answer.
+/// The load that a back end reports with an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LoadReport {
     /// Requests that run.
@@ -31,8 +31,8 @@
     own_at_report: u64,
 }
 
-/// Load of a back end: own work, what the other gateways tell of theirs, and
-/// what the back end told last.
+/// Load of a back end: this gateway's own work, the work that peer gateways report, and
+/// the last report of the back end itself.
 #[derive(Debug, Clone, Default)]
 pub struct BackendLoad {
     own: ByRank,
@@ -45,7 +45,7 @@
 }
 
 impl BackendLoad {
-    /// Requests that run or wait, as far as known.
+    /// Estimated number of requests that run or wait.
     pub fn requests(&self, now: Millis) -> u64 {
         let own = self.own.total();
         let counted = own + self.peers.requests(now);
@@ -56,33 +56,33 @@
         counted.max(reported)
     }
 
-    /// Prompt tokens that it has yet to prefill, as far as known.
+    /// Estimated prompt tokens that are still to be prefilled.
     pub fn uncached_tokens(&self, now: Millis) -> u64 {
         self.own_uncached.total() + self.peers.uncached(now).total()
     }
 
-    /// Of these, tokens that it prefills before a new request of this rank.
+    /// Of these, tokens that are prefilled before a new request of this engine priority.
     pub fn tokens_ahead_of(&self, engine_priority: u8, now: Millis) -> u64 {
         self.own_uncached.ahead_of(engine_priority)
             + self.peers.uncached(now).ahead_of(engine_priority)
     }
 
-    /// Of these, what the leader told of other gateways.
+    /// Of these, tokens of peer gateways' requests, as the leader reported them.
     pub(crate) fn peer_tokens_ahead_of(&self, engine_priority: u8, now: Millis) -> u64 {
         self.peers.uncached(now).ahead_of(engine_priority)
     }
 
-    /// Time since the leader told of other gateways.
+    /// Age of the leader's last report about peer gateways.
     pub(crate) fn peer_load_age(&self, now: Millis) -> Millis {
         self.peers.age(now)
     }
 
-    /// Tokens of KV cache that requests under way hold, as far as known.
+    /// Estimated tokens of KV cache that requests in flight hold.
     pub fn held_tokens(&self, now: Millis) -> u64 {
         self.own_held_tokens + self.peers.held_tokens(now)
     }
 
-    /// Own work under way at `backend`, to be told to the other gateways.
+    /// Own work in flight at `backend`, to be reported to peer gateways.
     pub fn own_backlog(&self, backend: &BackendId) -> Option<Backlog> {
         let any = self.own.total() > 0 || self.own_uncached.total() > 0;
         any.then(|| Backlog {
@@ -93,7 +93,7 @@
         })
     }
 
-    /// Notes a request of a rank that is sent.
+    /// Adds a request that is sent with this engine priority.
     pub fn sent(&mut self, engine_priority: u8, uncached_tokens: u64, prompt: Option<&Prompt>) {
         self.own.add(engine_priority, 1);
         self.own_uncached.add(engine_priority, uncached_tokens);
@@ -101,12 +101,12 @@
         self.own_output_tokens += prompt.map_or(0, Prompt::likely_output);
     }
 
-    /// Notes that the prompt of a request was prefilled.
+    /// Removes the uncached tokens of a request whose prompt was prefilled.
     pub fn prefilled(&mut self, engine_priority: u8, uncached_tokens: u64) {
         self.own_uncached.remove(engine_priority, uncached_tokens);
     }
 
-    /// Notes that a request is over.
+    /// Removes a request that ended.
     pub fn ended(&mut self, engine_priority: u8, prompt: Option<&Prompt>) {
         let held = prompt.map_or(0, Prompt::held_tokens);
         let output = prompt.map_or(0, Prompt::likely_output);
@@ -115,18 +115,18 @@
         self.own_output_tokens = self.own_output_tokens.saturating_sub(output);
     }
 
-    /// Mean output of the own requests under way; long ones are under way for
-    /// longer, and count as often.
+    /// Mean output of own requests in flight. Long requests are in flight for longer and
+    /// are sampled more often.
     pub fn mean_output_tokens(&self) -> f64 {
         self.own_output_tokens as f64 / self.own.total().max(1) as f64
     }
 
-    /// Own requests under way, by rank.
+    /// Own requests in flight, by engine priority.
     pub fn own_by_priority(&self) -> ByRank {
         self.own
     }
 
-    /// Takes a report.
+    /// Stores a report of the back end.
     pub fn note_report(&mut self, report: LoadReport, now: Millis) {
         self.last_report = Some(TimedReport {
             report,
@@ -135,12 +135,12 @@
         });
     }
 
-    /// What the other gateways have under way.
+    /// What peer gateways have in flight.
     pub(crate) fn peers_mut(&mut self) -> &mut PeerLoad {
         &mut self.peers
     }
 
-    /// Forgets what the back end told itself.
+    /// Forgets the last report of the back end.
     fn forget_report(&mut self) {
         self.last_report = None;
     }
@@ -154,26 +154,27 @@
 /// One back end.
 #[derive(Debug, Clone)]
 pub struct Backend {
-    /// How it introduced itself.
+    /// Its registration.
     pub registration: BackendRegistration,
-    /// Which start of an engine it is, where that is told.
+    /// The engine's start (incarnation), if known.
     pub start: u64,
     /// Phases that an engine serves; `None` for an application.
     pub role: Option<EngineRole>,
     /// Whether the configuration lets it take new work.
     pub takes_work: bool,
-    /// Set when it told itself that it leaves or is not who it was.
+    /// Set when it reported that it leaves, or when another back end answered at its
+    /// address.
     pub gone: bool,
-    /// Its health, as own requests show it.
+    /// Its health, as seen by own requests.
     pub breaker: CircuitBreaker,
     /// Whether it takes requests, by its own reports.
     pub(crate) availability: Availability,
-    /// Since when the leader says that requests of several gateways fail there.
+    /// When the leader last reported that requests of several gateways fail there.
     pub(crate) failing_at: Option<Millis>,
-    /// Whether this gateway is the one to try a failing back end now.
+    /// Whether this gateway is the one that probes the back end while it fails.
     pub(crate) may_probe: bool,
-    /// Whether it has named a limit, so that the others need not be looked up: of
-    /// thousands of engines a few have one.
+    /// Whether it reported a rate limit. Spares looking up all others: of thousands of
+    /// engines a few have one.
     pub(crate) has_limit: bool,
     /// Connections that this gateway may have to it.
     pub(crate) connections: ConnectionShare,
@@ -182,7 +183,7 @@
 }
 
 impl Backend {
-    /// A back end of which only the record is known.
+    /// Creates a back end of which only the record is known.
     pub fn new(record: &BackendRecord) -> Self {
         let mut backend = Backend {
             registration: record.registration.clone(),
@@ -202,8 +203,9 @@
         backend
     }
 
-    /// Takes a newer record. `true` where it is of another start of the engine, which
-    /// holds and knows nothing of before; own requests under way end by themselves.
+    /// Applies a newer record. Returns `true` if it belongs to another start of the
+    /// engine, whose caches and state are empty; own requests in flight at the former
+    /// start end by themselves.
     pub fn update(&mut self, record: &BackendRecord) -> bool {
         self.registration = record.registration.clone();
         self.takes_work = record.takes_work();
@@ -241,12 +243,12 @@
         self.load.own_by_priority().total() < self.connections.in_use
     }
 
-    /// Whether it is an engine that generates.
+    /// Whether it is an engine that decodes.
     pub(crate) fn generates(&self) -> bool {
         self.role.is_some_and(EngineRole::generates)
     }
 
-    /// Whether the fleet takes it for failing, and others try it.
+    /// Whether the fleet reports it as failing and another gateway probes it.
     fn is_failing(&self, now: Millis) -> bool {
         let is_recent = |at: Millis| now.since(at) <= FAILING_LIFETIME;
         !self.may_probe && self.failing_at.is_some_and(is_recent)
--- a/components/forwarding/src/cache_lifetime.rs
+++ b/components/forwarding/src/cache_lifetime.rs
@@ -1,16 +1,15 @@
-//! How long an engine keeps a prefix that nobody uses.
+//! How long an engine keeps a prefix that is not used.
 //!
-//! Engines drop what was used least recently when their memory is full. So a
-//! prefix lasts about as long as it takes to fill the memory anew with the
-//! prompts that all gateways send.
+//! Engines evict the least recently used prefix when their memory is full, so a prefix
+//! lasts about as long as the prompts of all gateways take to fill the memory once.
 
 use garnet_types::Millis;
 
-/// What came longer ago hardly counts: some dozen prompts for each gateway of a
-/// large fleet, and as long as a swing of the mix.
+/// Time constant of the exponential decay. It covers some dozen prompts of each gateway
+/// in a large fleet, and is as long as a swing of the request mix.
 const DECAY_TIME: Millis = Millis::from_secs(10);
 
-/// Prompt tokens that come in a second, of one gateway.
+/// Rate of prompt tokens at one gateway.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct PromptRate {
     tokens: f64,
@@ -19,7 +18,7 @@
 }
 
 impl PromptRate {
-    /// Notes a prompt.
+    /// Adds a prompt.
     pub(crate) fn note(&mut self, tokens: u64, now: Millis) {
         self.began_at.get_or_insert(now);
         self.tokens = self.tokens_at(now) + tokens as f64;
@@ -31,19 +30,19 @@
         self.tokens * (-age).exp()
     }
 
-    /// Tokens a second.
+    /// Prompt tokens a second.
     pub(crate) fn per_s(&self, now: Millis) -> f64 {
         let Some(began_at) = self.began_at else {
             return 0.0;
         };
         let observed = now.since(began_at).as_secs_f64() / DECAY_TIME.as_secs_f64();
-        // What came before the first prompt was noted is not known.
+        // The rate before the first prompt is unknown.
         let weight = DECAY_TIME.as_secs_f64() * (1.0 - (-observed).exp());
         self.tokens_at(now) / weight.max(1.0)
     }
 }
 
-/// Time in which `engines` with room for `cache_tokens` each are filled anew.
+/// Time in which prompts fill `engines` with `cache_tokens` each.
 pub(crate) fn lifetime(cache_tokens: u64, engines: usize, tokens_per_s: f64) -> Millis {
     let room = cache_tokens as f64 * engines as f64;
     let seconds = room / tokens_per_s.max(1.0);
--- a/components/forwarding/src/forwarder/admission.rs
+++ b/components/forwarding/src/forwarder/admission.rs
@@ -1,4 +1,5 @@
-//! Predictions from what is believed, and what is learned for them.
+//! Admission of new requests: predicted times, and the observations that the predictions
+//! are learned from.
 
 use garnet_control::{ByRank, LAST_RANK};
 use garnet_types::{BackendId, Millis, ServiceId};
@@ -12,10 +13,10 @@
 use super::{Forwarder, Learned};
 
 impl Forwarder {
-    /// Where a new request goes, and whether it is sent now. Where the owners
-    /// of its prefix have no time, any engine that has takes it, if beliefs are
-    /// fresh enough to tell: prefilling a prefix again costs less than a late
-    /// answer.
+    /// Chooses where a new request goes, and whether it is sent now. If the owners of its
+    /// prefix have no time, any engine that has time takes it, provided that the
+    /// estimates are fresh enough to tell: prefilling a prefix again costs less than a
+    /// late answer.
     pub fn place_new(
         &mut self,
         service: &ServiceId,
@@ -35,7 +36,7 @@
             ..self.context(&[], now)
         };
         if self.may_compare_all(service)
-            && let Some(other) = self.place_by(service, work, &any_engine)
+            && let Some(other) = self.place_with(service, work, &any_engine)
             && self.admission(service, work, &other, arrival, now) == Admission::Admit
         {
             return Some((other, Admission::Admit));
@@ -49,8 +50,9 @@
         Some((placement, admission))
     }
 
-    /// The refusal of a new request that waits for a connection in vain: the engines have
-    /// no time for it. `None` where they have, or no engine takes it.
+    /// Returns the refusal of a new request for which waiting for a connection is
+    /// useless, since the engines have no time for it. `None` if they have, or if no
+    /// engine takes it.
     fn refuse_new(
         &self,
         service: &ServiceId,
@@ -62,7 +64,7 @@
             ignore_connections: true,
             ..self.context(&[], now)
         };
-        let placement = self.place_by(service, work, &context)?;
+        let placement = self.place_with(service, work, &context)?;
         let admission = self.admission(service, work, &placement, arrival, now);
         matches!(admission, Admission::Refuse { .. }).then_some((placement, admission))
     }
@@ -101,23 +103,24 @@
         let ahead = self.queued_tokens(engine, work.engine_priority(uncached), now);
         let queued = self.queued_tokens(engine, LAST_RANK, now);
         let pace = self.pace_of(engine);
-        let alone_ms = pace.expected_ms(uncached);
+        let prefill_ms = pace.expected_ms(uncached);
         let slot_estimate = self.slot_queue(service, work.priority, placement, now);
-        // The other gateways told as many to come back, roughly.
+        // The peer gateways have told about as many callers to retry.
         let learned = self.learned.get(service);
         let pending_callers = learned.map_or(0, |learned| learned.pending_retries.pending(now));
         let returning = (pending_callers as u64 * self.gateways) as f64;
         Prediction {
-            alone_ms,
-            ahead_ms: pace.expected_ms(ahead + uncached) - alone_ms,
-            all_queued_ms: pace.expected_ms(queued + uncached) - alone_ms,
+            prefill_ms,
+            ahead_ms: pace.expected_ms(ahead + uncached) - prefill_ms,
+            all_queued_ms: pace.expected_ms(queued + uncached) - prefill_ms,
             slot_ms: slot_estimate.wait_ms(),
             retries_ms: slot_estimate.release_interval_ms * returning
                 / slot_estimate.engines.max(1) as f64,
         }
     }
 
-    /// Prompt tokens that the engine prefills before a new request of this rank.
+    /// Prompt tokens that the engine prefills before a new request of this engine
+    /// priority.
     pub(super) fn queued_tokens(
         &self,
         engine: &BackendId,
@@ -130,7 +133,7 @@
         })
     }
 
-    /// Waiting for a place to generate.
+    /// Predicts the wait for a decode slot.
     fn slot_queue(
         &self,
         service: &ServiceId,
@@ -160,7 +163,7 @@
             return self.backends.get(engine).map(queue).unwrap_or_default();
         }
         let decode_engines = self.decode_engines_of(service);
-        // What a limit leaves to others is no place to wait for.
+        // An engine whose rate limit leaves it to peer gateways has no slot to wait for.
         let may_send = |backend: &&Backend| {
             !backend.has_limit || self.limits.may_send(&backend.registration.id, now)
         };
@@ -176,8 +179,8 @@
         })
     }
 
-    /// Part of the requests that generate which come before a new one of this
-    /// rank; own requests are taken for like all others.
+    /// Fraction of the decoding requests that come before a new one of this priority. Own
+    /// requests are taken as a sample of all.
     fn fraction_ahead(&self, service: &ServiceId, route_priority: u8) -> f64 {
         let mut own = ByRank::default();
         let with_work = self.with_own_work.iter();
@@ -197,10 +200,9 @@
             .filter(|backend| backend.generates())
     }
 
-    /// Longest time that a prefill engine should take for a prompt of which it has
-    /// `uncached` tokens to read, with what is queued there. `None` for what is
-    /// read last: it waits for all that come after it, so its engine's silence
-    /// tells nothing.
+    /// Longest time that a prefill engine should take for a prompt with `uncached`
+    /// tokens, including what is queued there. `None` for the lowest priority: such a
+    /// prompt waits for all that arrive later, so the engine's silence tells nothing.
     pub fn prefill_timeout(
         &self,
         id: &BackendId,
@@ -227,36 +229,36 @@
         learned.map_or(PrefillPace::default(), |learned| learned.prefill)
     }
 
-    /// Notes how long the prefill of a prompt took, of which `tokens` were to
-    /// be read with all that was queued before.
+    /// Records how long the prefill of a prompt took, with `tokens` to prefill until its
+    /// end, those queued before it included.
     pub fn note_prefill(&mut self, id: &BackendId, tokens: u64, took: Millis) {
-        if let Some(learned) = self.learned_at(id) {
+        if let Some(learned) = self.learned_of(id) {
             learned.prefill.note(tokens, took);
         }
     }
 
-    /// Notes how long a request kept its place at an engine that generates.
+    /// Records how long a request held its decode slot.
     pub fn note_slot_time(&mut self, id: &BackendId, prompt: &Prompt, kept: Millis) {
-        if let Some(learned) = self.learned_at(id) {
+        if let Some(learned) = self.learned_of(id) {
             learned.token_time.note(prompt.likely_output(), kept);
         }
     }
 
     /// What was learned of the service of a back end.
-    fn learned_at(&mut self, id: &BackendId) -> Option<&mut Learned> {
+    fn learned_of(&mut self, id: &BackendId) -> Option<&mut Learned> {
         let service = self.backends.get(id)?.registration.service.clone();
         Some(self.learned.entry(service).or_default())
     }
 }
 
-/// Requests that wait for a place at the engine where they wait least.
+/// Queue for a decode slot at the engine with the shortest wait.
 #[derive(Debug, Clone, Copy, Default)]
 struct SlotQueue {
-    /// Requests more than places.
+    /// Requests in excess of the slots.
     excess: f64,
-    /// A place becomes free so often there.
+    /// Mean interval at which a slot is released.
     release_interval_ms: f64,
-    /// Engines with such queues.
+    /// Number of engines with such queues.
     engines: usize,
 }
 
--- a/components/forwarding/src/forwarder/availability.rs
+++ b/components/forwarding/src/forwarder/availability.rs
@@ -1,4 +1,4 @@
-//! What back ends report of whether they take requests.
+//! What back ends report about whether they take requests.
 
 use garnet_routing::{Probe, RetryAfter, caller_return, end_spread};
 use garnet_types::{BackendId, BackendKind, Millis, ServiceId};
@@ -9,7 +9,7 @@
 use super::{Forwarder, GOLDEN_RATIO_CONJUGATE};
 
 impl Forwarder {
-    /// Takes the backoff that an answer requests.
+    /// Applies the backoff that an answer requests.
     pub fn note_backoff(&mut self, id: &BackendId, retry_after: RetryAfter, now: Millis) {
         let spread = end_spread(retry_after, self.gateways, self.next_draw());
         if let Some(backend) = self.backends.get_mut(id) {
@@ -19,34 +19,34 @@
         }
     }
 
-    /// Notes that an answer reports draining. `true` where that is new.
+    /// Records that an answer reports draining. Returns `true` if that is new.
     pub fn note_draining(&mut self, id: &BackendId, now: Millis) -> bool {
         let backend = self.backends.get_mut(id);
         backend.is_some_and(|backend| backend.availability.report_draining(now))
     }
 
-    /// Notes a request that is sent. Gives the probe that it is, where its back end
-    /// recovers from a backoff.
+    /// Records that a request is sent. Returns the probe that the request is, if its back
+    /// end is recovering from a backoff.
     pub fn begin_probe(&mut self, id: &BackendId, now: Millis) -> Option<Probe> {
         self.backends.get_mut(id)?.availability.sent(now)
     }
 
-    /// Notes that a back end accepted a probe.
+    /// Records that a back end accepted a probe.
     pub fn probe_accepted(&mut self, id: &BackendId, probe: Probe) {
         if let Some(backend) = self.backends.get_mut(id) {
             backend.availability.accepted(probe);
         }
     }
 
-    /// Notes a probe that ended without a verdict of its back end.
+    /// Records that a probe ended without a verdict on its back end.
     pub fn probe_released(&mut self, id: &BackendId, probe: Probe) {
         if let Some(backend) = self.backends.get_mut(id) {
             backend.availability.released(probe);
         }
     }
 
-    /// Whether a request that has its place may still leave: its back end is in service
-    /// and in no backoff.
+    /// Whether a request that was placed at the back end may still be sent: the back end
+    /// is in service and in no backoff.
     pub fn is_available(&self, id: &BackendId, now: Millis) -> bool {
         let backend = self.backends.get(id);
         backend.is_some_and(|backend| {
@@ -55,12 +55,12 @@
         })
     }
 
-    /// Time until a back end's backoff is over; `None` where none is in force.
+    /// Time until a back end's backoff ends; `None` if it is in none.
     pub fn backoff_remaining(&self, id: &BackendId, now: Millis) -> Option<Millis> {
         self.backends.get(id)?.availability.backoff_remaining(now)
     }
 
-    /// How long an engine keeps a KV cache that nobody takes.
+    /// How long an engine keeps a KV cache that no decode engine has fetched.
     pub fn unclaimed_cache_lifetime(&self, id: &BackendId) -> Millis {
         let service = self.backends.get(id).map(|b| &b.registration.service);
         let table = self.configuration.routes.as_ref();
@@ -68,9 +68,9 @@
         limits.map_or(Millis::ZERO, |limits| limits.handover_ms)
     }
 
-    /// When the caller of a request should come back that nobody takes since all who
-    /// could are in backoff; `None` where one of them is not. The times of successive
-    /// callers are spread out.
+    /// If all back ends that could take a request are in backoff, returns the time after
+    /// which its caller should retry; the times of successive callers are spread. `None`
+    /// if one of them is not in backoff.
     pub fn all_in_backoff(
         &mut self,
         service: &ServiceId,
@@ -96,10 +96,10 @@
         Some(caller_return(first, work.objective, self.next_draw()))
     }
 
-    /// The next of draws from 0 to 1 that are spread evenly at any count.
+    /// The next number of a low-discrepancy sequence between 0 and 1.
     fn next_draw(&mut self) -> f64 {
-        self.drawn += 1;
+        self.draw_count += 1;
         let first = self.settings.first_draw;
-        (first + self.drawn as f64 * GOLDEN_RATIO_CONJUGATE).fract()
+        (first + self.draw_count as f64 * GOLDEN_RATIO_CONJUGATE).fract()
     }
 }
--- a/components/forwarding/src/forwarder/configuration.rs
+++ b/components/forwarding/src/forwarder/configuration.rs
@@ -1,4 +1,4 @@
-//! The configuration in force at a gateway. It never goes back.
+//! The configuration in force at a gateway. It never reverts to an older one.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -14,18 +14,18 @@
 
 use super::Forwarder;
 
-/// An unconfirmed configuration is given up when no leader has confirmed it for
-/// so long.
+/// An unconfirmed configuration is dropped if no leader has confirmed it within this
+/// time.
 const MAX_UNCONFIRMED_AGE: Millis = Millis::from_secs(10);
 
 impl Forwarder {
-    /// Notes that the leader has the whole configuration in parts, as it stood at
-    /// this index. Gives the part to ask for, where none is under way.
+    /// Handles the leader's offer to send the full configuration of this index in parts.
+    /// Returns the part to request, if none is in flight.
     pub fn on_parts_offered(&mut self, index: u64, now: Millis) -> Option<PartRequest> {
         self.loader.offered(index, now)
     }
 
-    /// Takes a part of the whole configuration. Gives the next one to ask for.
+    /// Takes a part of the full configuration. Returns the next part to request.
     pub fn take_configuration_part(
         &mut self,
         part: ConfigurationPart,
@@ -33,13 +33,13 @@
     ) -> Option<PartRequest> {
         match self.loader.take(part, now) {
             TakenPart::Next(next) => return Some(next),
-            TakenPart::Whole(full) => self.take_full(full),
+            TakenPart::Whole(full) => self.take_full_configuration(full),
             TakenPart::LeftAside => {}
         }
         None
     }
 
-    /// Notes that the connection to the leader is another one, of this version.
+    /// Records that a new connection to the leader, of this version, was opened.
     pub fn connected(&mut self, version: EncodingVersion) {
         self.loader.connected();
         self.resend_runs();
@@ -47,18 +47,18 @@
         self.set_permits_granted(version >= EncodingVersion::V16);
     }
 
-    /// Takes what the leader says is new. An older configuration than the one
-    /// in force is left aside, so nothing reverts.
+    /// Applies an update of the leader. A configuration older than the one in force is
+    /// ignored, so that nothing reverts.
     pub fn update(&mut self, update: WatchUpdate) {
         match update {
             WatchUpdate::UnderWay | WatchUpdate::Parts { .. } => {}
             WatchUpdate::Current => self.unconfirmed_since = None,
-            WatchUpdate::Snapshot(full) => self.take_full(full.into_inner()),
+            WatchUpdate::Snapshot(full) => self.take_full_configuration(full.into_inner()),
             WatchUpdate::Changes { from, to, changes } => self.take_changes(from, to, &changes),
         }
     }
 
-    fn take_full(&mut self, full: Configuration) {
+    fn take_full_configuration(&mut self, full: Configuration) {
         self.unconfirmed_since = None;
         if full.index >= self.configuration.index {
             self.configuration = full;
@@ -81,10 +81,10 @@
         self.apply_backends(&changed);
     }
 
-    /// Takes what a replica knew last while there is no leader, where nothing
-    /// is known here: a gateway that has just started need not wait for the
-    /// group. Until a leader confirms it, unknown routes are not denied and
-    /// the budgets' fixed part is left alone.
+    /// Takes the last configuration of a replica while there is no leader, if none is
+    /// known here: a gateway that has just started need not wait for a leader. Until a
+    /// leader confirms it, unknown routes are not denied, and the fixed number of the
+    /// retry budgets is not used.
     pub fn take_unconfirmed(&mut self, configuration: Arc<Configuration>, now: Millis) {
         if self.configuration.index == 0 {
             self.unconfirmed_since = Some(now);
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Forgets an unconfirmed configuration that has grown too old.
+    /// Drops an unconfirmed configuration that is too old.
     pub fn forget_unconfirmed(&mut self, now: Millis) {
         let is_old = |since| now.since(since) > MAX_UNCONFIRMED_AGE;
         if self.unconfirmed_since.is_some_and(is_old) {
@@ -110,12 +110,12 @@
         self.configuration.index > 0 && self.unconfirmed_since.is_none()
     }
 
-    /// Notes how many gateways share the budgets.
+    /// Sets the number of gateways that share the retry budgets.
     pub fn set_gateways(&mut self, gateways: u64) {
         self.gateways = gateways.max(1);
     }
 
-    /// Gateways that share the budgets, as far as known.
+    /// The last known number of gateways that share the retry budgets.
     pub fn gateways(&self) -> u64 {
         self.gateways
     }
@@ -130,7 +130,7 @@
         Some(self.configuration.routes.as_ref()?.version)
     }
 
-    /// Bounds on callers.
+    /// Limits on callers.
     pub fn limits(&self) -> CallerLimits {
         self.routes.table().limits
     }
@@ -143,7 +143,7 @@
         self.apply_backends(&Vec::from_iter(all));
     }
 
-    /// Follows everything but the back ends.
+    /// Applies everything but the back ends.
     fn apply_rest(&mut self) {
         if let Some(table) = &self.configuration.routes
             && table.version != self.routes.table().version
@@ -155,7 +155,7 @@
         self.crash_log.follow(quarantined);
     }
 
-    /// Follows these back ends; all others are as they were.
+    /// Applies the records of these back ends; all others are unchanged.
     fn apply_backends(&mut self, changed: &[BackendId]) {
         let mut members_changed = false;
         for id in changed {
@@ -194,8 +194,8 @@
         }
     }
 
-    /// Records of back ends that were followed so far: what changes of the
-    /// configuration cost.
+    /// Number of back-end records applied so far, a measure of the cost of configuration
+    /// changes.
     pub fn records_applied(&self) -> u64 {
         self.records_applied
     }
--- a/components/forwarding/src/forwarder/connections.rs
+++ b/components/forwarding/src/forwarder/connections.rs
@@ -7,7 +7,8 @@
 
 use super::Forwarder;
 
-/// Gateways that share the connections of a configuration that no leader has confirmed.
+/// Number of gateways that is assumed to share connections while no leader has confirmed
+/// the configuration.
 const UNCONFIRMED_GATEWAYS: u64 = 64;
 
 impl Forwarder {
@@ -17,8 +18,8 @@
         backend.map_or(ConnectionShare::unbounded(), |backend| backend.connections)
     }
 
-    /// Whether a back end that could do a part of the request has all connections of
-    /// this gateway in use, so that one of them becomes free.
+    /// Whether a back end that could take a part of the request has all connections of
+    /// this gateway in use, so that waiting for a connection is useful.
     pub fn awaits_connection(
         &self,
         service: &ServiceId,
@@ -38,7 +39,7 @@
         })
     }
 
-    /// Notes how many gateways share the connections to back ends.
+    /// Takes the leader's count of gateways that share the connections to back ends.
     pub fn share_connections_among(&mut self, gateways: u64, now: Millis) {
         self.sharing.note(gateways, now);
         if self.sharing_gateways() != self.shared_among {
@@ -55,7 +56,7 @@
         self.sharing.count().unwrap_or(assumed)
     }
 
-    /// Follows the number of gateways and the bounds of the route table.
+    /// Applies the number of gateways and the bounds of the route table.
     pub(super) fn share_connections(&mut self) {
         self.shared_among = self.sharing_gateways();
         let ids: Vec<BackendId> = self.backends.keys().cloned().collect();
--- a/components/forwarding/src/forwarder/estimates.rs
+++ b/components/forwarding/src/forwarder/estimates.rs
@@ -1,4 +1,4 @@
-//! What attempts and other gateways show of back ends.
+//! Updates of the gateway's estimates of back-end state by its own attempts.
 
 use garnet_control::PromptCopy;
 use garnet_types::{BackendId, Millis, ServiceId};
@@ -8,41 +8,41 @@
 
 use super::Forwarder;
 
-/// Copies that wait to be told at most; what is left out is told of when it is
-/// used again.
+/// Maximum number of prefix copies that wait to be reported; a copy that is left out is
+/// reported when it is used again.
 const MAX_PENDING_COPIES: usize = 64;
 
 /// Prompt tokens that an engine has to prefill for a request.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct PrefillWork {
-    /// Of the request's own prompt.
+    /// Tokens of the request's own prompt.
     pub uncached: u64,
-    /// Of others, which were there before.
+    /// Tokens of other requests, which were queued before.
     pub queued: u64,
-    /// Of these, what the leader told of other gateways.
+    /// Of these, tokens of peer gateways' requests, as the leader reported them.
     pub queued_by_peers: u64,
-    /// Age of the leader's word then.
+    /// Age of the leader's report at that time.
     pub peer_load_age: Millis,
 }
 
 impl Forwarder {
     // ---- Own attempts ----
 
-    /// Fills in how much will probably come out, as the callers of the service
-    /// make it likely.
+    /// Fills in the likely output of a prompt, as learned from other callers of the
+    /// service.
     pub fn fill_in_likely_output(&mut self, service: &ServiceId, prompt: &mut Prompt) {
         let learned = self.learned.entry(service.clone()).or_default();
         learned.output_length.complete(prompt);
     }
 
-    /// Notes a prompt that comes for the first time.
+    /// Counts a prompt on its first arrival.
     pub fn note_arrival(&mut self, service: &ServiceId, prompt: &Prompt, now: Millis) {
         let learned = self.learned.entry(service.clone()).or_default();
         learned.prompt_rate.note(prompt.tokens, now);
     }
 
-    /// Notes a request of a rank that is sent to a back end, which copies what
-    /// it lacks from `source`. Returns what it has yet to prefill for it.
+    /// Records that a request is sent to a back end, which copies what it lacks from
+    /// `source`. Returns what the back end has to prefill for it.
     pub fn sent(
         &mut self,
         id: &BackendId,
@@ -77,8 +77,8 @@
         }
     }
 
-    /// Prompt tokens that a back end would have to read, with what it copies
-    /// from `source`.
+    /// Prompt tokens that a back end would have to prefill, given what it copies from
+    /// `source`.
     pub fn uncached_tokens(
         &self,
         id: &BackendId,
@@ -94,7 +94,8 @@
         prompt.tokens.saturating_sub(held.max(copied))
     }
 
-    /// Notes a request that goes on from a KV cache at a back end.
+    /// Records that a request is sent to a back end that decodes from an existing KV
+    /// cache.
     pub fn sent_for_decode(
         &mut self,
         id: &BackendId,
@@ -113,7 +114,7 @@
         }
     }
 
-    /// Notes that a back end was silent for too long.
+    /// Records that a back end was silent for too long.
     pub fn silent(&mut self, id: &BackendId, now: Millis) {
         if let Some(backend) = self.backends.get_mut(id) {
             backend.breaker.silent(now);
@@ -121,24 +122,24 @@
         }
     }
 
-    /// Notes that nothing listens at a back end's address.
+    /// Records that nothing listens at a back end's address.
     pub fn unreachable(&mut self, id: &BackendId, now: Millis) {
         if let Some(backend) = self.backends.get_mut(id) {
-            // Nothing that runs refuses a connection: no second one is needed
-            // to believe it.
+            // A running process does not refuse connections, so a single failure is
+            // enough evidence.
             backend.breaker.silent(now);
             self.evidence_of(id).unreachable += 1;
         }
     }
 
-    /// Notes that a prompt was prefilled.
+    /// Records that a prompt was prefilled.
     pub fn prefilled(&mut self, id: &BackendId, engine_priority: u8, uncached: u64) {
         if let Some(backend) = self.backends.get_mut(id) {
             backend.load.prefilled(engine_priority, uncached);
         }
     }
 
-    /// Notes that an engine holds a prompt: it has read it, or took it over.
+    /// Records that an engine holds a prompt in its cache, by prefill or KV transfer.
     pub fn note_cached(&mut self, id: &BackendId, prompt: &Prompt, now: Millis) {
         let Some(residency) = self.cache_of(id) else {
             return;
@@ -153,21 +154,21 @@
             .extend(updates.into_iter().take(room).map(copy));
     }
 
-    /// Notes that a request is over at a back end, whatever its outcome.
+    /// Records that a request ended at a back end, whatever its outcome.
     pub fn ended(&mut self, id: &BackendId, engine_priority: u8, prompt: Option<&Prompt>) {
         if let Some(backend) = self.backends.get_mut(id) {
             backend.load.ended(engine_priority, prompt);
         }
     }
 
-    /// Takes a load report.
+    /// Records a load report.
     pub fn note_load_report(&mut self, id: &BackendId, report: LoadReport, now: Millis) {
         if let Some(backend) = self.backends.get_mut(id) {
             backend.load.note_report(report, now);
         }
     }
 
-    /// Notes a whole answer.
+    /// Records a complete answer.
     pub fn succeeded(&mut self, id: &BackendId) {
         if let Some(backend) = self.backends.get_mut(id) {
             backend.breaker.succeeded();
@@ -175,14 +176,14 @@
         }
     }
 
-    /// Notes a request that ended without a verdict on the back end.
+    /// Records a request that ended without a verdict on the back end.
     pub fn released(&mut self, id: &BackendId) {
         if let Some(backend) = self.backends.get_mut(id) {
             backend.breaker.released();
         }
     }
 
-    /// Notes a failure to connect, or a broken or failed answer.
+    /// Records a failure to connect, or a broken or failed answer.
     pub fn failed(&mut self, id: &BackendId, now: Millis) {
         if let Some(backend) = self.backends.get_mut(id) {
             backend.breaker.failed(now);
@@ -190,8 +191,8 @@
         }
     }
 
-    /// Notes that a back end said it leaves, or that another one stands at its
-    /// address.
+    /// Records that a back end reported that it leaves, or that another one listens at
+    /// its address.
     pub fn gone(&mut self, id: &BackendId) {
         if let Some(backend) = self.backends.get_mut(id) {
             backend.gone = true;
--- a/components/forwarding/src/forwarder/limits.rs
+++ b/components/forwarding/src/forwarder/limits.rs
@@ -1,5 +1,5 @@
-//! Back ends with a limit on requests a second from all gateways together, and permits to
-//! send to them.
+//! Back ends with a limit on requests per second from all gateways together, and permits
+//! to send to them.
 
 use garnet_control::LimitUpdate;
 use garnet_limits::{Asking, KnownLimits, LimitReports, PermitAnswer, PermitAsk, RequestRate};
@@ -13,17 +13,17 @@
 /// The limit in an answer of a back end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReportedLimit {
-    /// Requests a second that it takes.
+    /// The requests per second that it takes.
     Limited(RequestRate),
-    /// A proper answer without a limit.
+    /// A valid answer without a limit.
     Unlimited,
-    /// The answer shows neither.
+    /// The answer tells neither.
     Unknown,
 }
 
 impl Forwarder {
-    /// Notes whether the leader gives permits; one of an earlier version does not, and
-    /// requests are sent without any then, as before there were limits.
+    /// Sets whether the leader grants permits. A leader of an earlier version does not,
+    /// and requests are then sent without permits, as before limits existed.
     pub(super) fn set_permits_granted(&mut self, are_granted: bool) {
         self.permits_are_granted = are_granted;
         if !are_granted {
@@ -36,8 +36,8 @@
 
     // ---- Reports of back ends ----
 
-    /// Takes the limit in an answer to a request that was sent at `sent_at`. Gives the
-    /// limit where it is news.
+    /// Records the limit in an answer to a request that was sent at `sent_at`. Returns
+    /// the limit if it is new.
     pub fn note_limit(
         &mut self,
         id: &BackendId,
@@ -64,12 +64,12 @@
         }
     }
 
-    /// Reports to send to the leader.
+    /// Returns the limit reports to send to the leader, if any.
     pub fn limit_reports(&mut self, now: Millis) -> Option<LimitReports> {
         self.limits.reports(now)
     }
 
-    /// Takes the leader's list of limits. Gives the back ends whose limit is over.
+    /// Applies the leader's list of limits. Returns the back ends whose limit ended.
     pub fn take_limits(&mut self, update: &LimitUpdate, now: Millis) -> Vec<BackendId> {
         let ended = self.limits.take_list(update.list(), now);
         let listed = update.limits.iter().map(|entry| &entry.backend);
@@ -79,7 +79,7 @@
         ended
     }
 
-    /// Keeps [`Backend::has_limit`] in step with the limits.
+    /// Updates [`Backend::has_limit`] after a change of the limits.
     pub(super) fn note_whether_limited(&mut self, id: &BackendId) {
         let has_limit = self.limits.rate(id).is_some();
         if let Some(backend) = self.backends.get_mut(id) {
@@ -87,14 +87,14 @@
         }
     }
 
-    /// Back ends that have a limit, as far as known.
+    /// Number of back ends with a known limit.
     pub fn limited_backends(&self) -> usize {
         self.limits.len()
     }
 
     // ---- Permits ----
 
-    /// Whether a request may be sent to a back end now: it takes requests, and has no
+    /// Whether a request may be sent to a back end now: it takes requests, and it has no
     /// limit or there is a permit.
     pub fn may_send(&self, id: &BackendId, now: Millis) -> bool {
         let backend = self.backends.get(id);
@@ -103,8 +103,8 @@
         takes_requests && self.limits.may_send(id, now)
     }
 
-    /// What to do for a request that no back end may be sent as things stand: those
-    /// that have a limit and could do all of it may have a permit for one more.
+    /// Decides what to do if no back end may be sent a request now: asks for a permit for
+    /// one of the limited back ends that could do the whole request.
     pub fn ask_for_permit(
         &mut self,
         service: &ServiceId,
@@ -128,9 +128,9 @@
         self.limits.ask(limited.iter(), work.priority, now)
     }
 
-    /// Each gateway asks for a permit with one of so many requests as there are
-    /// gateways, whether it needs one or not: the engine's permits are used, and the end of
-    /// the limit is noticed, also while other engines have room.
+    /// Asks for a permit with one in as many requests as there are gateways, whether this
+    /// gateway needs one or not. So the permits of a limited engine are used, and the end
+    /// of its limit is noticed, also while other engines have capacity.
     pub fn ask_for_spare_permit(
         &mut self,
         service: &ServiceId,
@@ -140,8 +140,8 @@
         if self.limits.is_empty() {
             return None;
         }
-        self.arrived = self.arrived.wrapping_add(1);
-        let sequence = self.arrived.wrapping_add(self.seed);
+        self.arrival_count = self.arrival_count.wrapping_add(1);
+        let sequence = self.arrival_count.wrapping_add(self.seed);
         if !sequence.is_multiple_of(self.gateways.max(1)) {
             return None;
         }
@@ -155,8 +155,8 @@
             .filter(needs_permit)
             .map(|backend| backend.registration.id.clone())
             .collect();
-        // One that nobody has sent to for long is as likely as any other.
-        let drawn = self.arrived as usize / self.gateways.max(1) as usize;
+        // A back end that has not been sent a request for long is as likely as any other.
+        let drawn = self.arrival_count as usize / self.gateways.max(1) as usize;
         let one = candidates.get(drawn % candidates.len().max(1))?;
         match self.limits.ask([one].into_iter(), work.priority, now) {
             Asking::Ask(ask) => Some(ask),
@@ -164,7 +164,7 @@
         }
     }
 
-    /// Takes the leader's answer to a question for a permit.
+    /// Applies the leader's answer to a permit request.
     pub fn on_permit_answer(&mut self, answer: &PermitAnswer, now: Millis) {
         self.limits.answered(answer, now);
     }
--- a/components/forwarding/src/forwarder/load_exchange.rs
+++ b/components/forwarding/src/forwarder/load_exchange.rs
@@ -1,5 +1,5 @@
-//! What this gateway tells of its own work, and what it takes from the leader's
-//! digest of all gateways' work.
+//! Exchange of load reports: this gateway reports its own work to the leader and applies
+//! the leader's digest of all gateways' work.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -16,24 +16,25 @@
 
 use super::Forwarder;
 
-/// What was heard of the others' work at one back end counts for half after this
-/// time, where nothing is known of the time that work is there.
+/// Half-life of what was reported about peers' work at one back end, while the time that
+/// work stays there is unknown.
 const DEFAULT_HALF_LIFE: Millis = Millis(400);
-/// Own reports that are remembered, to be taken off a digest that counts them:
-/// more than are under way to the leader and back.
+/// Number of own reports that are kept, to be subtracted from a digest that counts them:
+/// more than are in flight to the leader and back.
 const MAX_REMEMBERED_REPORTS: usize = 32;
-/// Weight of the newest interval between two digests.
+/// Weight of the newest interval between two digests in the moving average.
 const INTERVAL_WEIGHT: f64 = 0.1;
-/// Prefill engines that are looked at where beliefs are fresh: a few come close to
-/// the best of all.
+/// Number of prefill engines to compare while estimates are fresh: the best of a few is
+/// close to the best of all.
 const MAX_SAMPLED: usize = 4;
-/// One gateway of all tries a failing back end for so long, then another one.
+/// Time for which one gateway probes a failing back end before another gateway takes
+/// over.
 const PROBE_SLOT: Millis = Millis(1000);
 
-/// What is told to the other gateways through the leader.
+/// What this gateway reports to its peers through the leader.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct GatewayReport {
-    /// Own work under way.
+    /// Own work in flight.
     pub backlogs: Vec<Backlog>,
     /// How own requests ended since the last report.
     pub evidence: Vec<Evidence>,
@@ -44,13 +45,13 @@
 /// Own reports and evidence.
 #[derive(Debug, Default)]
 pub(super) struct Reporting {
-    /// Own work in the reports that were sent last, and when.
+    /// Own work in the most recent reports, with the time when each was sent.
     sent: VecDeque<(Millis, Vec<Backlog>)>,
     evidence: BTreeMap<BackendId, Evidence>,
 }
 
-/// How old beliefs about the others' work are when they are used, in the mean:
-/// reports and digests come at the same pace.
+/// Mean age of estimates of peers' work when they are used. Reports and digests arrive at
+/// the same interval.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct EstimateAge {
     received_at: Option<Millis>,
@@ -67,7 +68,7 @@
 }
 
 impl Forwarder {
-    /// The report that is sent to the leader now.
+    /// Returns the report to send to the leader now.
     pub fn report(&mut self, now: Millis) -> GatewayReport {
         let backends = &self.backends;
         let own = |id: &BackendId| {
@@ -90,8 +91,8 @@
         }
     }
 
-    /// Takes the leader's digest. One of other back ends than are known here
-    /// is left aside.
+    /// Applies the leader's digest. A digest for another set of back ends than is known
+    /// here is ignored.
     pub fn take_digest(&mut self, update: &ToldDigest, now: Millis) {
         let Some(states) = update.digest.states(self.groups.members()) else {
             return;
@@ -117,7 +118,7 @@
         self.note_cache_lifetimes(now);
     }
 
-    /// Notes what was told of one back end. Gives whom it is like.
+    /// Stores the reported state of one back end. Returns the key of its group.
     fn take_state(
         &mut self,
         id: &BackendId,
@@ -131,7 +132,7 @@
         Some(group_key(backend))
     }
 
-    /// Notes what back ends that do the same work have in the mean.
+    /// Stores the mean load of each group.
     fn set_group_means(&mut self, sums: &BTreeMap<GroupKey, InFlight>, now: Millis) {
         let learned = &self.learned;
         for (key, group) in self.groups.iter() {
@@ -145,8 +146,8 @@
         }
     }
 
-    /// Works out how long engines keep prefixes, from what comes in here and at
-    /// as many gateways.
+    /// Estimates how long engines keep prefixes, assuming that all gateways receive
+    /// prompts at the rate of this one.
     fn note_cache_lifetimes(&self, now: Millis) {
         let table = self.configuration.routes.as_ref();
         for ((service, _), group) in self.groups.iter() {
@@ -160,35 +161,39 @@
         }
     }
 
-    /// What is believed of the cache of a back end that is known.
+    /// The estimated cache content of a known back end.
     pub(super) fn cache_of(&mut self, id: &BackendId) -> Option<&mut Residency> {
         let backend = self.backends.get(id)?;
         let groups = &self.groups;
-        let unknown = || Residency::with_lifetime(groups.cache_lifetime(backend));
-        Some(self.residency.entry(id.clone()).or_insert_with(unknown))
+        let new_estimate = || Residency::with_lifetime(groups.cache_lifetime(backend));
+        Some(
+            self.residency
+                .entry(id.clone())
+                .or_insert_with(new_estimate),
+        )
     }
 
-    /// Engines that are worth looking at for a prompt that none owns: the fewer
-    /// the older beliefs are against the time that a prompt is at an engine. What
-    /// is older tells nothing of the present queue, and those who go by it all go
-    /// the same way.
+    /// Number of engines to compare for a prompt without an owner. It falls as estimates
+    /// get older than the time that a prompt stays at an engine: older estimates tell
+    /// nothing about the present queue, and gateways that all follow them choose the same
+    /// engine.
     pub(super) fn engines_to_sample(&self, service: &ServiceId) -> usize {
-        let prefill = self.turnover(service).0 as f64;
+        let prefill = self.mean_prefill_time(service).0 as f64;
         let fresh = prefill / self.estimate_age.mean_ms.max(1.0);
         (MAX_SAMPLED as f64 * fresh.min(1.0)).round() as usize
     }
 
-    /// Whether beliefs are fresh enough to compare all engines.
+    /// Whether estimates are fresh enough to compare all engines.
     pub(super) fn may_compare_all(&self, service: &ServiceId) -> bool {
         self.engines_to_sample(service) >= MAX_SAMPLED
     }
 
-    /// How long a prompt is at a prefill engine of the service, in the mean.
-    fn turnover(&self, service: &ServiceId) -> Millis {
+    /// Mean time that a prompt stays at a prefill engine of the service.
+    fn mean_prefill_time(&self, service: &ServiceId) -> Millis {
         self.pace_of_service(service).mean()
     }
 
-    /// Own work in the report that was sent at this moment.
+    /// Own work in the report that was sent at this time.
     fn counted_report(&self, sent_at: Option<Millis>) -> BTreeMap<BackendId, Backlog> {
         let sent = &self.reporting.sent;
         let counted = sent.iter().find(|(at, _)| Some(*at) == sent_at);
@@ -197,8 +202,8 @@
         backlogs.iter().map(by_id).collect()
     }
 
-    /// A failing back end is tried by one gateway at a time, so that its return
-    /// is seen at the cost of few requests.
+    /// Records whether a back end fails. One gateway at a time probes a failing back end,
+    /// so that its recovery is noticed at the cost of few requests.
     fn note_failing(&mut self, id: &BackendId, is_failing: bool, now: Millis) {
         let slot = now.0 / PROBE_SLOT.0;
         let draw = xxh3_64_with_seed(id.as_str().as_bytes(), self.seed ^ slot);
@@ -219,8 +224,8 @@
         })
     }
 
-    /// Takes the leader's news of copies. Those about other back ends than are
-    /// known here are left aside.
+    /// Applies the leader's updates of prefix copies. Updates for another set of back
+    /// ends than is known here are ignored.
     pub fn take_copy_updates(&mut self, updates: &CopyNews, now: Millis) {
         if updates.copies.is_empty() || updates.members != self.groups.members() {
             return;
@@ -234,10 +239,10 @@
         self.note_copies(&copies, now);
     }
 
-    /// Takes what the other gateways know of copies.
+    /// Records prefix copies that peer gateways reported.
     pub fn note_copies(&mut self, copies: &[PromptCopy], now: Millis) {
         for copy in copies {
-            // One that is not known yet is told of again later.
+            // A copy at an unknown back end is reported again later.
             if let Some(residency) = self.cache_of(&copy.backend) {
                 residency.note_reported(copy.prefix, now);
             }
--- a/components/forwarding/src/forwarder/mod.rs
+++ b/components/forwarding/src/forwarder/mod.rs
@@ -1,4 +1,4 @@
-//! What a gateway believes, and the decisions that rest on it.
+//! The gateway's view of the fleet, and the decisions that depend on it.
 
 mod admission;
 mod availability;
@@ -38,11 +38,11 @@
 use crate::retry_budget::{ServiceBudget, SharedRetryBudget};
 use crate::work::Work;
 
-/// Draws that go on by this part of one are spread evenly at any count.
+/// Multiples of this number, modulo 1, are spread evenly however many are drawn.
 const GOLDEN_RATIO_CONJUGATE: f64 = 0.618_033_988_749_894_9;
 
-/// Gateways that share the budgets while that is not known: none of the fixed
-/// part may be used.
+/// Number of gateways that is assumed to share the retry budgets while it is unknown:
+/// none of the fixed number may be used.
 const UNKNOWN_GATEWAYS: u64 = u64::MAX;
 
 /// Settings of a forwarder.
@@ -52,11 +52,11 @@
     pub zone: String,
     /// Repeats that all gateways together may send a service.
     pub budget: SharedRetryBudget,
-    /// Where the draws of split routes begin, between 0 and 1.
+    /// Where the draws for split routes begin, between 0 and 1.
     pub first_draw: f64,
 }
 
-/// A route and the service that takes this request.
+/// A route and the service that takes a request.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RouteChoice {
     /// The route.
@@ -65,35 +65,35 @@
     pub service: ServiceId,
 }
 
-/// Beliefs and decisions of one gateway.
+/// State and decisions of one gateway.
 #[derive(Debug)]
 pub struct Forwarder {
     settings: ForwarderSettings,
     configuration: Configuration,
-    /// A whole configuration that comes in parts.
+    /// Loads a full configuration that arrives in parts.
     loader: Loader,
-    /// Since when the configuration is one that no leader has confirmed yet.
+    /// Since when the configuration in force is one that no leader has confirmed.
     unconfirmed_since: Option<Millis>,
     routes: RouteIndex,
     backends: BTreeMap<BackendId, Backend>,
-    /// Their places, and who does the same work.
+    /// Back ends by position and by group.
     groups: BackendGroups,
-    /// Back ends that this gateway may have work at.
+    /// Back ends at which this gateway may have work in flight.
     with_own_work: BTreeSet<BackendId>,
-    /// Records of back ends that were followed so far.
+    /// Number of back-end records applied so far.
     records_applied: u64,
-    /// Back ends that the leader's newest digest names.
+    /// Back ends that the leader's last digest named.
     in_last_digest: Vec<BackendId>,
     residency: BTreeMap<BackendId, Residency>,
     budgets: HashMap<ServiceId, ServiceBudget>,
     draws: HashMap<String, f64>,
     gateways: u64,
     sharing: SharingGateways,
-    /// Gateways among which the connections are shared out now.
+    /// Number of gateways among which connections are divided now.
     shared_among: u64,
-    drawn: u64,
+    draw_count: u64,
     learned: HashMap<ServiceId, Learned>,
-    /// Copies that the other gateways should hear of.
+    /// Prefix copies to report to peer gateways.
     pending_copies: Vec<PromptCopy>,
     reporting: Reporting,
     estimate_age: EstimateAge,
@@ -101,9 +101,9 @@
     /// Limits of back ends, and permits for them.
     limits: KnownLimits,
     permits_are_granted: bool,
-    /// Requests that came so far, to share out who asks for a spare permit.
-    arrived: u64,
-    /// Parts this gateway's draws from those of the others.
+    /// Requests so far; tells which of them ask for a spare permit.
+    arrival_count: u64,
+    /// Makes the draws of this gateway differ from those of its peers.
     seed: u64,
 }
 
@@ -118,7 +118,7 @@
 }
 
 impl Forwarder {
-    /// A forwarder that knows nothing yet.
+    /// Creates a forwarder without any configuration.
     pub fn new(settings: ForwarderSettings) -> Self {
         let seed = settings.first_draw.to_bits();
         Forwarder {
@@ -138,7 +138,7 @@
             gateways: 1,
             sharing: SharingGateways::default(),
             shared_among: 1,
-            drawn: 0,
+            draw_count: 0,
             learned: HashMap::new(),
             pending_copies: Vec::new(),
             reporting: Reporting::default(),
@@ -146,14 +146,14 @@
             crash_log: CrashLog::default(),
             limits: KnownLimits::default(),
             permits_are_granted: true,
-            arrived: 0,
+            arrival_count: 0,
             seed,
         }
     }
 
     // ---- Routing ----
 
-    /// The route of a request and the service that takes it.
+    /// Returns the route of a request and the service that takes it.
     pub fn route(&mut self, host: &str, path: &str) -> Option<RouteChoice> {
         let route = self.routes.find(host, path)?;
         let first = self.settings.first_draw;
@@ -164,10 +164,11 @@
         Some(RouteChoice { route, service })
     }
 
-    /// The tenant of a request on `route`, where callers are asked for keys.
+    /// Returns the tenant of a request on `route`, if callers need keys.
     ///
     /// # Errors
-    /// Why the request is not let in, by the table in force.
+    ///
+    /// Returns why the request is denied by the route table in force.
     pub fn authorize(
         &self,
         route: &Route,
@@ -176,18 +177,18 @@
         authorize(&self.routes, route, credential)
     }
 
-    /// Rank of a request on `route`, 0 first.
+    /// Priority of a request on `route`, 0 first.
     pub fn priority(&self, route: &Route, tenant: Option<&Tenant>) -> u8 {
         self.routes.priority(route, tenant)
     }
 
-    /// Whether callers prove who they are to this gateway: what they present
-    /// is not passed on.
+    /// Whether callers authenticate to this gateway; their credentials are then not
+    /// passed on.
     pub fn asks_for_keys(&self) -> bool {
         self.routes.asks_for_keys()
     }
 
-    /// Where the request goes now. `None` when no back end can take it.
+    /// Chooses where the request goes now. `None` if no back end can take it.
     pub fn place(
         &mut self,
         service: &ServiceId,
@@ -196,18 +197,18 @@
         may_hand_over: bool,
         now: Millis,
     ) -> Option<Placement> {
-        self.drawn += 1;
+        self.draw_count += 1;
         let context = PlacementContext {
             may_hand_over,
             ..self.context(tried, now)
         };
-        // A back end that failed lately is better than none.
-        self.place_by(service, work, &context).or_else(|| {
+        // A back end that failed recently is better than none.
+        self.place_with(service, work, &context).or_else(|| {
             let context = PlacementContext {
                 ignore_failures: true,
                 ..context
             };
-            self.place_by(service, work, &context)
+            self.place_with(service, work, &context)
         })
     }
 
@@ -222,11 +223,11 @@
             ignore_connections: false,
             any_engine: false,
             sampled: 0,
-            draw: self.drawn,
+            draw: self.draw_count,
         }
     }
 
-    fn place_by(
+    fn place_with(
         &self,
         service: &ServiceId,
         work: &Work,
@@ -237,17 +238,17 @@
             return place_application(of_service, context).map(Placement::One);
         };
         let engines = of_service.filter(|backend| backend.registration.kind == BackendKind::Engine);
-        let engines = self.views(engines);
+        let engines = self.engine_views(engines);
         let context = PlacementContext {
             sampled: self.engines_to_sample(service),
-            // Gateways that start together count alike.
+            // Gateways that start together have equal counters.
             draw: context.draw.wrapping_add(self.seed),
             ..*context
         };
         place_engines(&engines, prompt, &context)
     }
 
-    /// Who generates from the KV cache that `prefill_engine` made, as things stand now.
+    /// Chooses the engine that decodes from the KV cache that `prefill_engine` made.
     pub fn place_decode(
         &mut self,
         service: &ServiceId,
@@ -255,7 +256,7 @@
         tried: &[BackendId],
         now: Millis,
     ) -> Option<BackendId> {
-        self.drawn += 1;
+        self.draw_count += 1;
         let zone = &self.backends.get(prefill_engine)?.registration.zone;
         let find = |ignore_failures| {
             let context = PlacementContext {
@@ -267,10 +268,13 @@
         find(false).or_else(|| find(true))
     }
 
-    /// Engines, given in their order, with what is believed of their caches.
-    fn views<'a>(&'a self, engines: impl Iterator<Item = &'a Backend>) -> Vec<EngineView<'a>> {
-        // Both are in order, so that no engine is looked up: a gateway knows the caches
-        // of a small part of the engines.
+    /// Pairs engines, given in order of their ids, with the estimates of their caches.
+    fn engine_views<'a>(
+        &'a self,
+        engines: impl Iterator<Item = &'a Backend>,
+    ) -> Vec<EngineView<'a>> {
+        // Both sequences are sorted, so no lookup is needed: a gateway has estimates for
+        // the caches of few engines only.
         let mut caches = self.residency.iter().peekable();
         let view = |backend: &'a Backend| {
             let id = &backend.registration.id;
@@ -288,41 +292,41 @@
             .filter(move |backend| backend.registration.service == *service)
     }
 
-    /// A back end.
+    /// Returns a back end.
     pub fn backend(&self, id: &BackendId) -> Option<&Backend> {
         self.backends.get(id)
     }
 
-    /// The address of a back end.
+    /// Returns the address of a back end.
     pub fn address(&self, id: &BackendId) -> Option<&str> {
         Some(&self.backend(id)?.registration.address)
     }
 
-    /// Back ends that take work now, of all that are known.
+    /// Number of back ends that take work now, and number of known back ends.
     pub fn open_backends(&self, now: Millis) -> (usize, usize) {
         let open = self.backends.values().filter(|b| b.is_open(now, false));
         (open.count(), self.backends.len())
     }
 
-    /// The back ends that are known, in their order.
+    /// Ids of the known back ends in their order.
     pub fn backend_ids(&self) -> impl Iterator<Item = &BackendId> {
         self.backends.keys()
     }
 
-    /// Back ends that are known.
+    /// Number of known back ends.
     pub fn known_backends(&self) -> usize {
         self.backends.len()
     }
 
     // ---- Budgets ----
 
-    /// Notes the first attempt of a request.
+    /// Counts the first attempt of a request.
     pub fn earn_repeats(&mut self, service: &ServiceId, now: Millis) {
         let share = self.settings.budget;
         self.budget(service, now).earn(&share, now);
     }
 
-    /// Takes one repeat from the service's budget; `false` when none is left.
+    /// Spends one repeat from the service's budget; returns `false` if none is left.
     pub fn spend_repeat(&mut self, service: &ServiceId, now: Millis) -> bool {
         let share = self.settings.budget;
         let gateways = self.gateways_that_share();
--- a/components/forwarding/src/forwarder/quarantine.rs
+++ b/components/forwarding/src/forwarder/quarantine.rs
@@ -1,5 +1,5 @@
-//! Requests under which engines end: what this gateway saw of them, and what
-//! the leader and the configuration say.
+//! Requests that crash engines: what this gateway observed of them, and what the leader
+//! and the configuration report.
 
 use garnet_control::UNTOLD_START;
 use garnet_quarantine::{
@@ -9,17 +9,17 @@
 
 use super::Forwarder;
 
-/// What a caller is told to wait that comes with a refused request, before the
-/// log says until when it is refused.
+/// Time after which the caller of a refused request may retry, while the log does not yet
+/// say until when the request is refused.
 const DEFAULT_RETRY_AFTER: Millis = Millis::from_secs(60);
 
 impl Forwarder {
-    /// Whether nothing is known of any request, so that none need be looked up.
+    /// Whether no suspected request is known, so that none need be looked up.
     pub fn has_no_suspects(&self) -> bool {
         self.crash_log.is_empty() && self.configuration.quarantine.is_empty()
     }
 
-    /// How a request stands.
+    /// Returns the standing of a request.
     pub fn standing(&self, fingerprint: RequestFingerprint) -> Standing {
         if self.configuration.quarantine.contains_key(&fingerprint) {
             return Standing::Refused;
@@ -27,13 +27,13 @@
         self.crash_log.standing(fingerprint)
     }
 
-    /// For how long a refused request will be refused.
+    /// For how long a refused request will still be refused.
     pub fn refused_for(&self, fingerprint: RequestFingerprint, now: Millis) -> Millis {
         let record = self.configuration.quarantine.get(&fingerprint);
         record.map_or(DEFAULT_RETRY_AFTER, |record| record.until.since(now))
     }
 
-    /// Notes a run that broke off as a crash of its back end breaks it off.
+    /// Records a run that broke off in the way a crash of its back end breaks it off.
     pub fn run_crashed(&mut self, fingerprint: RequestFingerprint, id: &BackendId, now: Millis) {
         let engine = EngineStart {
             backend: id.clone(),
@@ -42,33 +42,33 @@
         self.crash_log.crashed(fingerprint, engine, now);
     }
 
-    /// Notes a run that came to its proper end.
+    /// Records a run that completed.
     pub fn run_completed(&mut self, fingerprint: RequestFingerprint, now: Millis) {
         self.crash_log.completed(fingerprint, now);
     }
 
-    /// What the leader has not heard yet of such runs.
+    /// Returns the runs to report to the leader, if any.
     pub fn run_report(&mut self, now: Millis) -> Option<RunReport> {
         self.crash_log.report(now)
     }
 
-    /// The leader has taken the runs up to this number.
+    /// Records that the leader has received the runs up to this number.
     pub fn runs_confirmed(&mut self, through: u64) {
         self.crash_log.confirmed(through);
     }
 
-    /// Another leader may have been found.
+    /// Reports all runs again, since there may be a new leader.
     pub fn resend_runs(&mut self) {
         self.crash_log.tell_anew();
     }
 
-    /// Takes the requests that the leader has in view.
+    /// Takes the requests that the leader suspects or refuses.
     pub fn take_suspects(&mut self, suspects: Suspects) {
         self.crash_log.take(suspects);
     }
 
-    /// Back ends that a suspected request leaves to the others: all but its
-    /// own one of those that are open.
+    /// Returns the open back ends that a suspected request may not use: all but its own
+    /// one.
     pub fn excluded_for_suspect(
         &self,
         service: &ServiceId,
--- a/components/forwarding/src/lib.rs
+++ b/components/forwarding/src/lib.rs
@@ -1,10 +1,10 @@
-//! What a gateway decides about forwarded work: opaque requests with typed
-//! facts, which are passed on to the back ends of a route's service.
+//! The decisions of a gateway about forwarded work: opaque requests with typed facts,
+//! which are passed on to the back ends of a route's service.
 //!
-//! Contract: no socket, file or clock. [`Forwarder`] holds what the gateway
-//! believes: the route table, the back ends, their load and their health. The
-//! choice of a back end is a pure function over that ([`placement`]); what an
-//! attempt's end means for the caller is a pure function too ([`next_move`]).
+//! Contract: no socket, file or clock. [`Forwarder`] holds the gateway's view: the route
+//! table, the back ends, and estimates of their load and health. The choice of a back end
+//! is a pure function over that view ([`placement`]), and so is the decision after an
+//! attempt ended ([`next_move`]).
 
 mod access;
 mod admission;
--- a/components/forwarding/src/output_length.rs
+++ b/components/forwarding/src/output_length.rs
@@ -1,15 +1,15 @@
-//! How much of the output that callers allow for comes out.
+//! Estimates which fraction of the maximum output is generated.
 //!
-//! Callers state the most tokens that they want; most answers end long before.
-//! Some callers guess at the length as well. A single guess is often far off,
-//! but together they tell what part of the most is likely.
+//! Callers state the maximum number of tokens, and most answers end long before it. Some
+//! callers guess the length as well. A single guess is often far off, but their average
+//! tells which fraction is likely.
 
 use crate::work::Prompt;
 
-/// Weight of the newest guess: some hundred of them make the average.
+/// Weight of a new guess in the moving average, which spans about a hundred guesses.
 const SAMPLE_WEIGHT: f64 = 0.01;
 
-/// The part of the most that is likely, learned from guesses.
+/// The likely fraction of the maximum output, learned from guesses.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct OutputLength {
     likely_fraction: f64,
@@ -24,8 +24,8 @@
 }
 
 impl OutputLength {
-    /// Learns from the caller's guess. Where there is none, gives what is
-    /// likely.
+    /// Learns from the caller's guess. Without a guess, fills in the likely number of
+    /// tokens.
     pub(crate) fn complete(&mut self, prompt: &mut Prompt) {
         let max_tokens = prompt.output_tokens;
         if max_tokens == 0 {
--- a/components/forwarding/src/pace.rs
+++ b/components/forwarding/src/pace.rs
@@ -1,30 +1,29 @@
-//! How long engines take, learned from what gateways saw them do.
+//! Estimates how long engines take, learned from observed requests.
 //!
-//! Nothing is told of an engine's speed. A line is fitted through what was
-//! believed to be ahead of a prompt and the time that its prefill took; it is
-//! the best prediction from beliefs that are partly wrong, since it is fitted
-//! to these same beliefs.
+//! Engines do not report their speed. A line is fitted through the tokens that were
+//! estimated to be ahead of a prompt and the time that its prefill took. Since it is
+//! fitted to the same estimates that it is used with, it predicts well even where they
+//! are partly wrong.
 
 use garnet_types::Millis;
 
-/// Pace that is believed before the first prompt was prefilled, in tokens a
-/// millisecond: slower than any engine that is known, so that nobody is left
-/// for slow too soon.
+/// Pace that is assumed before the first prefill, in tokens per millisecond: slower than
+/// any known engine, so that no engine is abandoned as slow too soon.
 const INITIAL_TOKENS_PER_MS: f64 = 20.0;
-/// Tokens, and their spread, of the prompt that stands for those which were not
-/// read yet; the first prompts outweigh it.
+/// Mean and spread, in tokens, of the assumed sample that stands for prompts before the
+/// first prefill. The first real prompts outweigh it.
 const INITIAL_TOKENS: f64 = 2_000.0;
-/// Part of each older prompt's weight that is left when a new one comes: some
-/// two hundred prompts make the line.
+/// Factor by which the weight of older samples falls with each new one; about two hundred
+/// samples determine the line.
 const SAMPLE_DECAY: f64 = 0.995;
-/// Prompts of which nothing is ahead say nothing of the pace.
+/// Prefills of fewer tokens, queued ones included, say nothing about the pace.
 const MIN_SAMPLE_TOKENS: u64 = 100;
-/// Shortest limit for a prompt that is prefilled.
+/// Minimum time limit of a prefill.
 const MIN_TIME_LIMIT: Millis = Millis(1000);
-/// A prefill may take so many times what is expected.
+/// Multiple of the expected time that a prefill may take.
 const TIME_LIMIT_SLACK: f64 = 4.0;
 
-/// Time of a prefill over the tokens ahead of its end: an exponentially
+/// Prefill time as a function of the tokens to prefill until its end: an exponentially
 /// weighted least-squares line.
 #[derive(Debug, Clone, Copy)]
 pub struct PrefillPace {
@@ -48,8 +47,8 @@
 }
 
 impl PrefillPace {
-    /// Notes a prefill: `tokens` were believed to be prefilled until its end, those
-    /// queued before it included.
+    /// Adds a sample: an estimated `tokens` were prefilled until the end of the prompt,
+    /// those queued before it included.
     pub fn note(&mut self, tokens: u64, took: Millis) {
         if tokens < MIN_SAMPLE_TOKENS {
             return;
@@ -67,31 +66,29 @@
             old_weight * (self.covariance + sample_weight * token_deviation * ms_deviation);
     }
 
-    /// Time until `tokens` are prefilled.
+    /// Expected time until `tokens` are prefilled.
     pub fn expected_ms(&self, tokens: u64) -> f64 {
         let proportional = self.mean_ms / self.mean_tokens.max(1.0);
         let fitted = self.covariance / self.variance.max(1.0);
-        // No prefill is faster the longer it is, and none takes less than
-        // nothing.
+        // The slope is clamped: a longer prefill is never faster, and none takes negative
+        // time.
         let ms_per_token = fitted.clamp(0.0, proportional);
         let fixed_ms = (self.mean_ms - ms_per_token * self.mean_tokens).max(0.0);
         fixed_ms + ms_per_token * tokens as f64
     }
 
-    /// How long prompts wait and are prefilled in the mean.
+    /// Mean time that prompts wait and are prefilled.
     pub(crate) fn mean(&self) -> Millis {
         Millis(self.mean_ms.max(1.0) as u64)
     }
 
-    /// Longest time that prefilling `tokens` should take, those queued before
-    /// them included.
+    /// Longest time that prefilling `tokens`, those queued before included, should take.
     pub fn time_limit(&self, tokens: u64) -> Millis {
         MIN_TIME_LIMIT + Millis((self.expected_ms(tokens) * TIME_LIMIT_SLACK) as u64)
     }
 }
 
-/// How long a token of output takes, learned from requests that ended and from
-/// how much was likely to come out of them.
+/// Time per output token, learned from ended requests and their likely output.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct TokenTime {
     sum_ms: f64,
@@ -99,14 +96,13 @@
 }
 
 impl TokenTime {
-    /// Notes a request that kept its place for so long.
+    /// Adds a request that held its decode slot for `kept`.
     pub fn note(&mut self, likely_output_tokens: u64, kept: Millis) {
         self.sum_ms = self.sum_ms * SAMPLE_DECAY + kept.0 as f64;
         self.sum_tokens = self.sum_tokens * SAMPLE_DECAY + likely_output_tokens as f64;
     }
 
-    /// Time in which so many tokens are generated; nothing while no request has
-    /// ended.
+    /// Expected time to generate `tokens`; zero while no request has ended.
     pub fn expected_ms(&self, tokens: f64) -> f64 {
         tokens * self.sum_ms / self.sum_tokens.max(1.0)
     }
--- a/components/forwarding/src/peer_load.rs
+++ b/components/forwarding/src/peer_load.rs
@@ -1,4 +1,4 @@
-//! What the other gateways have under way at a back end, as the leader told it.
+//! What peer gateways have in flight at a back end, as the leader reported it.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -6,7 +6,7 @@
 use garnet_control::{BackendState, Backlog, ByRank};
 use garnet_types::Millis;
 
-/// Work under way at a back end.
+/// Work in flight at a back end.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub(crate) struct InFlight {
     pub(crate) requests: u64,
@@ -15,7 +15,7 @@
 }
 
 impl InFlight {
-    /// What is left when `own` is taken off, as far as it is counted.
+    /// Subtracts `own`, as far as it is counted here.
     pub(crate) fn without(&self, own: &Backlog) -> Self {
         let mut uncached = self.uncached;
         for (engine_priority, tokens) in own.uncached.iter() {
@@ -35,7 +35,7 @@
         self.held_tokens += other.held_tokens;
     }
 
-    /// The mean of this sum of `count` back ends.
+    /// Divides this sum over `count` back ends by their number.
     pub(crate) fn mean(&self, count: usize) -> Self {
         self.map(|sum| sum / (count as u64).max(1))
     }
@@ -63,24 +63,23 @@
     }
 }
 
-/// What the leader told last of back ends that do the same work: one value that all
-/// of them share, so that a digest is taken at the cost of what it names.
+/// The leader's last report about a group of back ends. All members share one value, so
+/// that the cost of a digest depends only on the back ends that it names.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct GroupLoad {
-    /// What the others have at one of them in the mean.
+    /// Mean of what peers have in flight at one member.
     pub(crate) mean: InFlight,
-    /// When it was heard.
+    /// When the report arrived.
     pub(crate) received_at: Millis,
-    /// What was heard of one of them counts for half after this time: about the time
-    /// that a request is there.
+    /// Half-life of what was reported for a single member: about the time that a request
+    /// stays there.
     pub(crate) half_life: Millis,
 }
 
-/// What the other gateways have under way at a back end, and what they have at
-/// its like in the mean.
+/// What peer gateways have in flight at a back end, and their mean over its group.
 ///
-/// Invariant: what is believed of one back end loses weight with its age and
-/// turns into the mean; it doesn't turn into "idle".
+/// Invariant: the report about a single back end loses weight with its age and converges
+/// to the group's mean, not to "idle".
 #[derive(Debug, Clone, Default)]
 pub(crate) struct PeerLoad {
     reported: InFlight,
@@ -88,32 +87,32 @@
 }
 
 impl PeerLoad {
-    /// Joins the back ends that share this belief.
+    /// Joins the group that shares this estimate.
     pub(crate) fn join(&mut self, group: &Rc<RefCell<GroupLoad>>) {
         self.group = Rc::clone(group);
     }
 
-    /// Notes what the leader told of this back end with the newest belief.
+    /// Stores what the leader's newest report says about this back end.
     pub(crate) fn received(&mut self, reported: InFlight) {
         self.reported = reported;
     }
 
-    /// Time since the leader told it.
+    /// Age of the leader's report.
     pub(crate) fn age(&self, now: Millis) -> Millis {
         now.since(self.group.borrow().received_at)
     }
 
-    /// Requests that they probably have there now.
+    /// Estimated number of requests of peers.
     pub(crate) fn requests(&self, now: Millis) -> u64 {
         self.estimate_at(now, |in_flight| in_flight.requests)
     }
 
-    /// Tokens of KV cache that these probably hold.
+    /// Estimated tokens of KV cache that these hold.
     pub(crate) fn held_tokens(&self, now: Millis) -> u64 {
         self.estimate_at(now, |in_flight| in_flight.held_tokens)
     }
 
-    /// Prompt tokens that they probably have there to be prefilled.
+    /// Estimated prompt tokens of peers that are still to be prefilled.
     pub(crate) fn uncached(&self, now: Millis) -> ByRank {
         let mut uncached = ByRank::default();
         for engine_priority in ByRank::ranks() {
@@ -125,8 +124,8 @@
         uncached
     }
 
-    /// What one number probably is now. Asked of thousands of engines for one choice,
-    /// of which nearly all have nothing.
+    /// Estimates one value at `now`. Called for thousands of engines in one placement,
+    /// nearly all of which have nothing in flight.
     fn estimate_at(&self, now: Millis, value: impl Fn(&InFlight) -> u64) -> u64 {
         let group = self.group.borrow();
         let (reported, mean) = (value(&self.reported), value(&group.mean));
--- a/components/forwarding/src/placement.rs
+++ b/components/forwarding/src/placement.rs
@@ -1,4 +1,4 @@
-//! Which back end takes a request: pure functions over what is believed.
+//! Chooses the back end of a request: pure functions over the gateway's estimates.
 
 use garnet_limits::KnownLimits;
 use garnet_types::{BackendId, EngineRole, Millis};
@@ -9,57 +9,55 @@
 use crate::residency::Residency;
 use crate::work::Prompt;
 
-/// Requests more than elsewhere that the own zone may have before work leaves
-/// it: another zone costs time and bytes.
+/// Requests that a local back end may have more than others before work leaves the zone:
+/// another zone costs latency and traffic.
 const ZONE_ADVANTAGE_REQUESTS: u64 = 2;
-/// An engine that generates prefills prompts at half the pace, and all that it
-/// generates comes slower meanwhile: each token that it prefills counts as so
-/// many that a prefill engine prefills.
+/// Cost of a token that a mixed engine prefills, in tokens of a prefill engine: a mixed
+/// engine prefills at half the pace, and everything that it decodes slows down meanwhile.
 const MIXED_PREFILL_COST_FACTOR: u64 = 200;
-/// What handing a KV cache over costs, in prompt tokens that could be read in
-/// that time.
+/// Cost of a KV transfer, in prompt tokens that could be prefilled in its time.
 const HANDOVER_COST_TOKENS: u64 = 1_500;
-/// Tokens more than elsewhere that a decode engine in the zone of the prefill engine may
-/// hold before a KV cache leaves the zone.
+/// Tokens that a decode engine in the prefill engine's zone may hold more than others
+/// before a KV cache is moved to another zone.
 const ZONE_MOVE_TOKENS: u64 = 100_000;
-/// Where a request goes.
+/// Where a request is sent.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Placement {
-    /// One back end does all of it.
+    /// One back end does the whole request.
     One(BackendId),
-    /// One engine prefills the prompt; another one, which is chosen when that is
-    /// done, generates from its KV cache.
+    /// One engine prefills the prompt; another one, which is chosen when the prefill is
+    /// done, decodes from its KV cache.
     Handover {
-        /// Reads the prompt.
+        /// The engine that prefills the prompt.
         prefill_engine: BackendId,
-        /// Holds more of its prefix, for the prefill engine to copy first.
+        /// An engine that holds more of the prompt's prefix; the prefill engine copies it
+        /// first.
         copy_from: Option<BackendId>,
     },
 }
 
-/// Who looks for a back end.
+/// The circumstances in which a back end is chosen.
 #[derive(Debug, Clone, Copy)]
 pub struct PlacementContext<'a> {
     /// Zone of the gateway.
     pub zone: &'a str,
-    /// What back ends take, and permits for them.
+    /// Rate limits of back ends, and permits for them.
     pub limits: &'a KnownLimits,
-    /// The present.
+    /// The current time.
     pub now: Millis,
-    /// Back ends that this request was at before.
+    /// Back ends that this request was sent to before.
     pub tried: &'a [BackendId],
-    /// Whether one engine may read the prompt for another.
+    /// Whether one engine may prefill the prompt and another one decode it.
     pub may_hand_over: bool,
-    /// Whether back ends that failed lately are taken as well.
+    /// Whether back ends that failed recently are eligible as well.
     pub ignore_failures: bool,
-    /// Whether back ends without a free connection are taken as well.
+    /// Whether back ends without a free connection are eligible as well.
     pub ignore_connections: bool,
-    /// Whether any engine may read a prompt, in place of the owners of its
-    /// prefix only.
+    /// Whether any engine may prefill a prompt, instead of only the owners of its prefix.
     pub any_engine: bool,
-    /// Prefill engines that are looked at for a prompt that none owns.
+    /// Number of prefill engines to compare for a prompt that has no owner.
     pub sampled: usize,
-    /// A number that differs from request to request, to part equals.
+    /// Random number of this request, which breaks ties.
     pub draw: u64,
 }
 
@@ -72,8 +70,8 @@
             && (!backend.has_limit || self.limits.may_send(id, self.now))
     }
 
-    /// Whether it takes what comes. A permit for one that has a limit is over before
-    /// another engine has read a prompt for it.
+    /// Whether it has no rate limit. A permit for an engine with a limit would expire
+    /// before another engine has prefilled a prompt for it.
     fn is_unlimited(&self, backend: &Backend) -> bool {
         !backend.has_limit
     }
@@ -88,7 +86,8 @@
     }
 }
 
-/// An instance of an application: the least requests, the own zone first.
+/// Chooses the application instance with the fewest requests, preferring the gateway's
+/// zone.
 pub fn place_application<'a>(
     backends: impl Iterator<Item = &'a Backend>,
     context: &PlacementContext<'_>,
@@ -104,24 +103,24 @@
     Some(open.min_by_key(cost)?.registration.id.clone())
 }
 
-/// An engine and what is believed of its prefix cache.
+/// An engine and the estimated state of its prefix cache.
 #[derive(Debug, Clone, Copy)]
 pub struct EngineView<'a> {
     /// The engine.
     pub backend: &'a Backend,
-    /// Its cache.
+    /// Its prefix cache, if anything is known of it.
     pub residency: Option<&'a Residency>,
 }
 
 impl EngineView<'_> {
-    /// Its name.
+    /// The engine's id.
     pub fn id(&self) -> &BackendId {
         &self.backend.registration.id
     }
 }
 
-/// One engine for both phases, or two, by the prompt tokens that are to be
-/// read before the first event.
+/// Chooses one engine for both phases, or separate prefill and decode engines, by the
+/// prompt tokens to prefill before the first token.
 pub fn place_engines(
     engines: &[EngineView<'_>],
     prompt: &Prompt,
@@ -158,7 +157,7 @@
     let handover = cheapest_prefill(&prefill_engines, &open, prompt, search);
     let single_cost = |prefill: &PrefillChoice<'_, '_>| prefill.cost * MIXED_PREFILL_COST_FACTOR;
     let handover_cost = |prefill: &PrefillChoice<'_, '_>| prefill.cost + HANDOVER_COST_TOKENS;
-    let by_two = |prefill: &PrefillChoice<'_, '_>| Placement::Handover {
+    let split_placement = |prefill: &PrefillChoice<'_, '_>| Placement::Handover {
         prefill_engine: prefill.engine.id().clone(),
         copy_from: prefill.source.map(|source| source.id().clone()),
     };
@@ -166,17 +165,17 @@
         (Some(single), Some(prefill_engine))
             if handover_cost(&prefill_engine) < single_cost(&single) =>
         {
-            Some(by_two(&prefill_engine))
+            Some(split_placement(&prefill_engine))
         }
         (Some(single), _) => Some(Placement::One(single.engine.id().clone())),
-        (None, Some(prefill_engine)) => Some(by_two(&prefill_engine)),
+        (None, Some(prefill_engine)) => Some(split_placement(&prefill_engine)),
         (None, None) => None,
     }
 }
 
-/// Who goes on from the prefill engine's KV cache: in its zone, since moves between
-/// zones take longer, and with the most memory left: what is scarce where
-/// prompts are long.
+/// Chooses the engine that decodes from the prefill engine's KV cache: one in the same
+/// zone, since transfers between zones take longer, and with the most free memory, which
+/// is scarce with long prompts.
 pub fn place_decode<'a>(
     engines: impl Iterator<Item = &'a Backend>,
     prefill_zone: &str,
--- a/components/forwarding/src/prefill_choice.rs
+++ b/components/forwarding/src/prefill_choice.rs
@@ -1,10 +1,10 @@
-//! Which engine prefills a prompt, and where it copies the prefix from that it
-//! lacks: a pure function over what is believed.
+//! Chooses the engine that prefills a prompt, and the engine that it copies a missing
+//! prefix from: a pure function over the gateway's estimates.
 //!
-//! Each shared prefix has two owners, found by rendezvous hashing: all
-//! gateways find the same ones without a word between them, and an engine that
-//! leaves moves only what it owned. An owner that lacks the prefix copies it from
-//! whoever was seen to hold it, in a small part of the time that prefilling takes.
+//! Each shared prefix has two owners, found by rendezvous hashing: all gateways find the
+//! same ones without communication, and an engine that leaves moves only the prefixes
+//! that it owned. An owner that lacks the prefix copies it from an engine that holds it,
+//! in a small fraction of the time of a prefill.
 
 use std::cmp::Reverse;
 
@@ -15,50 +15,50 @@
 use crate::residency::Residency;
 use crate::work::{MAX_IGNORED_PREFIX_TOKENS, Prefix, Prompt};
 
-/// Engines at which a shared prefix may be kept.
+/// Number of engines that own a shared prefix.
 const OWNER_COUNT: usize = 2;
-/// What keeping a prefix at another engine than its first owner costs all, also
-/// where it is copied: memory that others lose, and what is prefilled again for
-/// that. Each token that the engine lacks counts so many times more.
+/// Factor on each token that an engine other than the first owner lacks, even if it
+/// copies them: a further copy takes memory from other prefixes, which are then prefilled
+/// again.
 const SPREADING_COST_FACTOR: u64 = 2;
-/// A first owner that this gateway has not sent the prefix to lately holds
-/// it all the same, since the others send there too, but for this part.
+/// A first owner is assumed to hold the prefix even if this gateway has not sent it there
+/// recently, since peer gateways send there too; one token in this many is assumed to be
+/// missing.
 const DOUBT_DIVISOR: u64 = 4;
-/// What it costs to begin a copy, in prompt tokens that could be prefilled in
-/// that time.
+/// Fixed cost of a copy, in prompt tokens that could be prefilled in its time.
 const COPY_SETUP_TOKENS: u64 = 400;
-/// One token is prefilled in the time in which so many are copied.
+/// Number of tokens that are copied in the time in which one is prefilled.
 const COPIED_TOKENS_PER_PREFILLED_TOKEN: u64 = 16;
-/// Copies between zones take so many times longer.
+/// Factor on the time of copies between zones.
 const ZONE_COPY_FACTOR: u64 = 2;
 
-/// An engine that may prefill the prompt, and what that costs there.
+/// An engine that may prefill the prompt, and the cost of doing it there.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct PrefillChoice<'a, 'b> {
     pub(crate) engine: &'a EngineView<'b>,
-    /// Holds more of the prefix.
+    /// An engine that holds more of the prefix, to copy from.
     pub(crate) source: Option<&'a EngineView<'b>>,
-    /// Prompt tokens that are prefilled before this request's first event, and those
-    /// that others wait for because of it.
+    /// Prompt tokens that are prefilled before this request's first token, and those that
+    /// delay other requests because of it.
     pub(crate) cost: u64,
 }
 
-/// Who looks for a prefill engine.
+/// The circumstances in which a prefill engine is chosen.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct PrefillSearch {
-    /// Whether all engines are looked at.
+    /// Whether all engines are compared.
     pub(crate) any_engine: bool,
-    /// Engines that are looked at for a prompt that none owns.
+    /// Number of engines to compare for a prompt that has no owner.
     pub(crate) sampled: usize,
-    /// Differs from request to request and from gateway to gateway.
+    /// Random number of the request and the gateway.
     pub(crate) draw: u64,
-    /// The present.
+    /// The current time.
     pub(crate) now: Millis,
 }
 
-/// Among the owners of the prompt's shared prefix, or some engines where it has
-/// none, the one that begins to decode first; what it lacks is copied from one of
-/// `holders`.
+/// Chooses the engine that finishes the prefill first, among the owners of the prompt's
+/// shared prefix or, if it has none, among some engines. It copies what it lacks from one
+/// of `holders`.
 pub(crate) fn cheapest_prefill<'a, 'b>(
     engines: &[&'a EngineView<'b>],
     holders: &[&'a EngineView<'b>],
@@ -77,19 +77,19 @@
             .max(likely_tokens(prompt, is_first))
             .min(prompt.tokens);
         let copy = cheapest_copy(engine, held, &sources, prompt);
-        let spread = if is_first {
+        let spreading_cost = if is_first {
             0
         } else {
             let lacking = prompt.tokens - held;
             lacking.min(prompt.shared_tokens()) * SPREADING_COST_FACTOR
         };
         let queued = engine.backend.load.uncached_tokens(now);
-        // What is prefilled here is waited for by all who are here.
-        let waiting = 1 + engine.backend.load.requests(now);
+        // All requests at the engine wait for this prefill.
+        let affected_requests = 1 + engine.backend.load.requests(now);
         PrefillChoice {
             engine,
             source: copy.source,
-            cost: queued + (copy.left + copy.cost + spread) * waiting,
+            cost: queued + (copy.to_prefill + copy.cost + spreading_cost) * affected_requests,
         }
     };
     let candidates = candidates(engines, owners, prompt, search);
@@ -99,10 +99,10 @@
         .min_by_key(|choice| choice.cost)
 }
 
-/// The engines that are compared: the owners of a shared prefix. A prompt without
-/// one may go anywhere; some engines are drawn anew for each request, since other
-/// gateways choose by the same beliefs meanwhile, and comparing all engines would
-/// send all of them to the same one.
+/// Returns the engines to compare: the owners of a shared prefix. A prompt without one
+/// may go anywhere. A random sample is drawn for each request, since other gateways
+/// choose by the same estimates meanwhile, and comparing all engines would send all of
+/// them to the same one.
 fn candidates<'a, 'b>(
     engines: &[&'a EngineView<'b>],
     owners: Vec<&'a EngineView<'b>>,
@@ -121,7 +121,7 @@
     owners
 }
 
-/// The owners of the prompt's shared prefix, the first one first.
+/// Returns the owners of the prompt's shared prefix, the first owner first.
 fn owners<'a, 'b>(engines: &[&'a EngineView<'b>], prompt: &Prompt) -> Vec<&'a EngineView<'b>> {
     let prefix = prompt.shared_prefix();
     first_by(engines, OWNER_COUNT, |engine| {
@@ -130,8 +130,8 @@
     })
 }
 
-/// The first `count` engines by a key, in its order. Each engine's key is worked out
-/// once, and a few engines are kept in order: all of them need not be.
+/// Returns the first `count` engines in the order of `key`. Each key is computed once,
+/// and only `count` engines are kept sorted.
 fn first_by<'a, 'b, K: Ord>(
     engines: &[&'a EngineView<'b>],
     count: usize,
@@ -155,7 +155,7 @@
     engine.residency.map_or(0, held)
 }
 
-/// See [`DOUBT_DIVISOR`].
+/// Tokens that a first owner is assumed to hold; see [`DOUBT_DIVISOR`].
 fn likely_tokens(prompt: &Prompt, first_owner: bool) -> u64 {
     if !first_owner {
         return 0;
@@ -164,14 +164,14 @@
     shared - shared / DOUBT_DIVISOR
 }
 
-/// An engine that the prefix can be copied from.
+/// An engine from which the prefix can be copied.
 #[derive(Clone, Copy)]
 struct Source<'a, 'b> {
     engine: &'a EngineView<'b>,
     tokens: u64,
 }
 
-/// Engines that were seen to hold the prefix.
+/// Returns the engines that are known to hold the prefix.
 fn sources<'a, 'b>(
     holders: &[&'a EngineView<'b>],
     prefixes: &[Prefix],
@@ -187,14 +187,14 @@
 
 /// What an engine prefills, and what it copies before.
 struct Copy<'a, 'b> {
-    /// Tokens that it prefills.
-    left: u64,
+    /// Tokens to prefill.
+    to_prefill: u64,
     /// Time of the copy, in tokens that could be prefilled in it.
     cost: u64,
     source: Option<&'a EngineView<'b>>,
 }
 
-/// What is cheapest for an engine that holds `held` tokens.
+/// Returns the cheapest copy, or none, for an engine that holds `held` tokens.
 fn cheapest_copy<'a, 'b>(
     engine: &EngineView<'b>,
     held: u64,
@@ -205,7 +205,7 @@
     let copying = |source: &Source<'a, 'b>| {
         let copied = source.tokens.saturating_sub(held);
         Copy {
-            left: prompt.tokens.saturating_sub(source.tokens.max(held)),
+            to_prefill: prompt.tokens.saturating_sub(source.tokens.max(held)),
             cost: copy_cost(engine, source.engine, copied),
             source: Some(source.engine),
         }
@@ -215,18 +215,18 @@
         .filter(|source| source.engine.id() != engine.id());
     let cheapest = other_sources
         .map(copying)
-        .min_by_key(|copy| copy.left + copy.cost);
+        .min_by_key(|copy| copy.to_prefill + copy.cost);
     cheapest
-        .filter(|copy| copy.left + copy.cost < uncached)
+        .filter(|copy| copy.to_prefill + copy.cost < uncached)
         .unwrap_or(Copy {
-            left: uncached,
+            to_prefill: uncached,
             cost: 0,
             source: None,
         })
 }
 
 fn copy_cost(to: &EngineView<'_>, from: &EngineView<'_>, tokens: u64) -> u64 {
-    let near = to.backend.registration.zone == from.backend.registration.zone;
-    let times = if near { 1 } else { ZONE_COPY_FACTOR };
-    COPY_SETUP_TOKENS + times * tokens / COPIED_TOKENS_PER_PREFILLED_TOKEN
+    let same_zone = to.backend.registration.zone == from.backend.registration.zone;
+    let factor = if same_zone { 1 } else { ZONE_COPY_FACTOR };
+    COPY_SETUP_TOKENS + factor * tokens / COPIED_TOKENS_PER_PREFILLED_TOKEN
 }
--- a/components/forwarding/src/residency.rs
+++ b/components/forwarding/src/residency.rs
@@ -1,4 +1,4 @@
-//! Which prompt prefixes an engine holds, as far as this gateway knows.
+//! Estimates which prompt prefixes an engine holds.
 
 use std::cell::Cell;
 use std::collections::HashMap;
@@ -8,35 +8,36 @@
 
 use crate::work::{MAX_IGNORED_PREFIX_TOKENS, Prefix, Prompt};
 
-/// Beginnings that are remembered of one engine; the oldest go first.
+/// Maximum number of prefixes that are tracked per engine; the least recently used are
+/// dropped.
 const MAX_PREFIXES: usize = 512;
-/// A prefix that was not used for so long may have given way.
+/// A prefix that was unused for longer may have been evicted.
 const RESIDENT_LIFETIME: Millis = Millis::from_secs(30);
-/// A prefix that was not used for so long is not worth asking for a copy.
+/// A prefix that was unused for longer is not worth requesting a copy.
 const COPYABLE_LIFETIME: Millis = Millis::from_secs(10);
-/// The other gateways are told again of a prefix after so long.
+/// A prefix is reported to peer gateways again after this time.
 const PUBLISH_INTERVAL: Millis = Millis::from_secs(5);
 
-/// What is believed of one prefix.
+/// Estimated state of one prefix.
 #[derive(Debug, Clone, Copy)]
 struct PrefixState {
     used_at: Millis,
-    /// Whether it was prefilled to its end; until then it can't be copied.
+    /// Whether it was prefilled to its end; it can't be copied before.
     is_prefilled: bool,
-    /// When a gateway told the others, this one or another.
+    /// When this gateway or a peer last reported the prefix to all gateways.
     published_at: Option<Millis>,
 }
 
-/// Beliefs about the prefix cache of one engine.
+/// Estimated content of the prefix cache of one engine.
 #[derive(Debug, Clone, Default)]
 pub struct Residency {
     states: HashMap<PrefixId, PrefixState>,
-    /// How long engines like this one keep what nobody uses, where that is known.
+    /// How long engines of the same group keep an unused prefix, if known.
     lifetime: Rc<Cell<Option<Millis>>>,
 }
 
 impl Residency {
-    /// Notes that the engine is sent the prompt.
+    /// Records that the prompt is sent to the engine.
     pub fn note_sent(&mut self, prompt: &Prompt, now: Millis) {
         for prefix in prompt.prefixes() {
             self.note(prefix.id, now);
@@ -44,8 +45,8 @@
         self.evict_old(now);
     }
 
-    /// Notes that the engine holds the whole prompt now. Gives the shared
-    /// prefixes that the other gateways should hear of.
+    /// Records that the engine holds the whole prompt now. Returns the shared prefixes to
+    /// report to peer gateways.
     pub fn note_prefilled(&mut self, prompt: &Prompt, now: Millis) -> Vec<PrefixId> {
         let prefixes = prompt.prefixes();
         let shared = prefixes.len().saturating_sub(1);
@@ -66,7 +67,7 @@
         to_publish
     }
 
-    /// Notes what another gateway told.
+    /// Records that a peer gateway reported the prefix.
     pub fn note_reported(&mut self, prefix: PrefixId, now: Millis) {
         let state = self.note(prefix, now);
         state.is_prefilled = true;
@@ -74,15 +75,14 @@
         self.evict_old(now);
     }
 
-    /// Tokens of the prompt with these prefixes that the engine is believed to
-    /// hold, or to have read before this prompt's turn comes.
+    /// Prompt tokens that the engine probably holds, or will have prefilled before this
+    /// prompt.
     pub fn held_tokens(&self, prefixes: &[Prefix], now: Millis) -> u64 {
         let limit = self.bounded_by_lifetime(RESIDENT_LIFETIME);
         self.tokens(prefixes, |state| now.since(state.used_at) <= limit)
     }
 
-    /// Tokens of the prompt with these prefixes that can be copied from the
-    /// engine.
+    /// Prompt tokens that can be copied from the engine.
     pub fn copyable_tokens(&self, prefixes: &[Prefix], now: Millis) -> u64 {
         let limit = self.bounded_by_lifetime(COPYABLE_LIFETIME);
         self.tokens(prefixes, |state| {
@@ -90,7 +90,7 @@
         })
     }
 
-    /// Nothing is known of what the engine holds; `lifetime` is shared with its like.
+    /// Creates an empty estimate; `lifetime` is shared by the engine's group.
     pub(crate) fn with_lifetime(lifetime: Rc<Cell<Option<Millis>>>) -> Self {
         Residency {
             lifetime,
@@ -98,7 +98,7 @@
         }
     }
 
-    /// The engine's work is that of others now.
+    /// Uses the `lifetime` of another group, after the engine's role changed.
     pub(crate) fn share_lifetime(&mut self, lifetime: Rc<Cell<Option<Millis>>>) {
         self.lifetime = lifetime;
     }
--- a/components/forwarding/src/retry_budget.rs
+++ b/components/forwarding/src/retry_budget.rs
@@ -1,37 +1,37 @@
-//! This gateway's share of a service's budget of repeated attempts.
+//! This gateway's share of a service's retry budget.
 //!
-//! All gateways together may send a service only so many repeats in any window:
-//! a part of its requests, and a fixed number on top. The part is each
-//! gateway's own; the fixed number is divided among the gateways that the
-//! leader counts.
+//! In any window, all gateways together may send a service a limited number of repeats: a
+//! fraction of its requests, and a fixed number on top. The fraction applies to each
+//! gateway's own requests; the fixed number is divided among the gateways that the leader
+//! counts.
 //!
-//! Invariant: a gateway's repeats in a window stay within its share of what its
-//! requests in that same window allow, so the sum over gateways does too.
+//! Invariant: a gateway's repeats in a window stay within its share of what its requests
+//! in that same window allow, so the sum over gateways stays within the budget.
 
 use std::collections::VecDeque;
 
 use garnet_types::Millis;
 
-/// What the operators allow all gateways together.
+/// The retry budget of a service that all gateways share, set by the operators.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct SharedRetryBudget {
-    /// Repeats for each request.
+    /// Repeats per request.
     pub per_request: f64,
-    /// Repeats on top in one window.
+    /// Fixed number of repeats in a window.
     pub extra: f64,
     /// Length of the window.
     pub window: Millis,
 }
 
-/// Part of the allowance that is used: gateways come and go, and a count that
-/// is a moment old must not lead past it.
+/// Fraction of the allowance that is used. The number of gateways changes, and a slightly
+/// outdated count must not lead to more repeats than allowed.
 const SAFE_FRACTION: f64 = 0.75;
-/// Part of the fixed number that a gateway may use as soon as it starts.
+/// Fraction of the fixed number that a gateway may use as soon as it starts.
 const INITIAL_FRACTION: f64 = 0.4;
-/// Slots that a window is counted in.
+/// Number of slots in a window.
 const SLOTS: u64 = 20;
 
-/// What happened in one slot.
+/// Counts of one slot.
 #[derive(Debug, Clone, Copy)]
 struct Slot {
     number: u64,
@@ -39,7 +39,7 @@
     repeats: u64,
 }
 
-/// Requests and repeats that one gateway sent to one service lately.
+/// Requests and repeats that one gateway sent to one service within the window.
 #[derive(Debug, Clone)]
 pub(crate) struct ServiceBudget {
     began_at: Millis,
@@ -47,8 +47,8 @@
 }
 
 impl ServiceBudget {
-    /// A budget that begins now. What a former life of the gateway spent is not
-    /// known, so a part of the fixed number comes in over one window.
+    /// Creates a budget that starts now. What this gateway spent before a restart is
+    /// unknown, so its share of the fixed number grows over one window.
     pub(crate) fn starting_at(now: Millis) -> Self {
         ServiceBudget {
             began_at: now,
@@ -56,12 +56,12 @@
         }
     }
 
-    /// Notes a first attempt.
+    /// Counts a first attempt.
     pub(crate) fn earn(&mut self, budget: &SharedRetryBudget, now: Millis) {
         self.present_slot(budget, now).requests += 1;
     }
 
-    /// Takes one repeat; `false` when none is left.
+    /// Spends one repeat; returns `false` if none is left.
     pub(crate) fn spend(&mut self, budget: &SharedRetryBudget, gateways: u64, now: Millis) -> bool {
         let allowed = self.has_left(budget, gateways, now);
         if allowed {
@@ -84,7 +84,7 @@
 
     fn allowance(&self, budget: &SharedRetryBudget, gateways: u64, now: Millis) -> f64 {
         let present = slot_number(budget, now);
-        // The oldest slot lies in the window in part: its repeats count, its
+        // Only a part of the oldest slot lies within the window: its repeats count, its
         // requests do not.
         let fully_inside = |slot: &&Slot| slot.number + SLOTS > present;
         let requests: u64 = self
--- a/components/forwarding/src/usage.rs
+++ b/components/forwarding/src/usage.rs
@@ -1,8 +1,8 @@
-//! Counts the requests that began to run, by tenant and window of true time.
+//! Counts the requests that began to run, by tenant and by window of true time.
 //!
-//! What was counted is reported again and again until the leader says that it
-//! stands in the log. Windows go by the leader's time of day, which is the median
-//! of all clocks: this gateway's own may jump.
+//! A count is reported repeatedly until the leader acknowledges that it is in the log.
+//! Windows follow the leader's time of day, which is the median of all clocks: this
+//! gateway's own clock may jump.
 
 use std::collections::BTreeMap;
 
@@ -13,18 +13,18 @@
 #[derive(Debug, Clone, Copy, Default)]
 struct Count {
     requests: u64,
-    /// As many of them as are known to stand in the log.
+    /// How many of them are known to be in the log.
     logged: u64,
-    /// Number of the first report that told the present count.
+    /// Number of the first report that contained the present count.
     first_report: Option<u64>,
 }
 
-/// The meter of one gateway.
+/// The usage meter of one gateway.
 #[derive(Debug)]
 pub struct UsageMeter {
     gateway: GatewayId,
     window_length: Millis,
-    /// The leader's time of day less this process's clock.
+    /// The leader's time of day minus this process's clock.
     clock_behind_ms: i64,
     counts: BTreeMap<(UsageWindow, TenantId), Count>,
     /// Number of the last report.
@@ -32,7 +32,7 @@
 }
 
 impl UsageMeter {
-    /// A meter of a gateway for windows of this length.
+    /// Creates the meter of a gateway for windows of this length.
     pub fn new(gateway: GatewayId, window_length: Millis) -> Self {
         UsageMeter {
             gateway,
@@ -43,7 +43,8 @@
         }
     }
 
-    /// A request of `tenant` began to run at `began`, by this process's clock.
+    /// Counts a request of `tenant` that began to run at `began`, by this process's
+    /// clock.
     pub fn note(&mut self, tenant: &TenantId, began: Millis) {
         let time = Millis(began.0.saturating_add_signed(self.clock_behind_ms));
         let window = UsageWindow::at(time, self.window_length);
@@ -52,18 +53,18 @@
         count.first_report = None;
     }
 
-    /// Whether there is anything that is not known to stand in the log.
+    /// Whether some requests are not known to be in the log.
     pub fn has_unlogged(&self) -> bool {
         self.counts.values().any(Count::is_unlogged)
     }
 
-    /// Requests that are not known to stand in the log: what is lost with this
-    /// process.
+    /// Number of requests that are not known to be in the log: they are lost if this
+    /// process ends.
     pub fn unlogged(&self) -> u64 {
         self.counts.values().map(Count::unlogged).sum()
     }
 
-    /// The next report.
+    /// Returns the next report.
     pub fn report(&mut self) -> UsageReport {
         self.number += 1;
         let number = self.number;
@@ -86,8 +87,8 @@
         }
     }
 
-    /// Takes the leader's answer, heard at `now`. Gives the requests that came
-    /// too late for their window and are told to nobody.
+    /// Takes the leader's receipt, which arrived at `now`. Returns the number of requests
+    /// that came too late for their window and are dropped.
     pub fn take(&mut self, receipt: &UsageReceipt, now: Millis) -> u64 {
         self.clock_behind_ms = receipt.time.0 as i64 - now.0 as i64;
         for count in self.counts.values_mut() {
--- a/components/forwarding/src/work.rs
+++ b/components/forwarding/src/work.rs
@@ -5,49 +5,49 @@
 use garnet_types::{Millis, PrefixId};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// One part of a prompt. Parts are shared between requests; the last one
-/// belongs to the request or to its session.
+/// One part of a prompt. Parts are shared between requests; the last one belongs to the
+/// request or to its session.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PromptPart {
-    /// Names its content.
+    /// Identifies the content.
     pub id: u64,
-    /// Its length.
+    /// Length in tokens.
     pub tokens: u64,
 }
 
-/// A prompt up to the end of one of its parts.
+/// A prefix of a prompt that ends with one of its parts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Prefix {
-    /// Names its content.
+    /// Identifies the content.
     pub id: PrefixId,
-    /// Its length.
+    /// Length in tokens.
     pub tokens: u64,
 }
 
-/// Shared prefixes up to this many tokens are not worth a place of their own:
-/// any prefill engine takes them.
+/// Shared prefixes up to this length have no owners, since caching them saves little: any
+/// prefill engine takes them.
 pub(crate) const MAX_IGNORED_PREFIX_TOKENS: u64 = 1_000;
 
-/// What is known of a prompt.
+/// The known facts of a prompt.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Prompt {
     /// Its parts in order.
     pub parts: Vec<PromptPart>,
-    /// Tokens of the whole prompt.
+    /// Length of the whole prompt.
     pub tokens: u64,
-    /// Most tokens that are wanted.
+    /// Maximum number of output tokens.
     pub output_tokens: u64,
-    /// Tokens that will probably come out, where anybody has an idea.
+    /// Likely number of output tokens, if a guess is available.
     pub likely_output_tokens: Option<u64>,
 }
 
-/// Prompts of which fewer tokens are left to be prefilled hold nobody up.
+/// Prompts with fewer uncached tokens don't delay others noticeably.
 const SHORT_PREFILL: u64 = 512;
 
 impl Work {
-    /// Whether a stream that can't be taken up elsewhere probably goes on for
-    /// longer than `left`. Its caller waits long enough for the most output;
-    /// the likely part of that takes the same part of the time.
+    /// Whether a stream that can't be resumed on another back end probably runs for
+    /// longer than `left`. The caller's `remaining` time is enough for the maximum
+    /// output; the likely fraction of the output takes the same fraction of the time.
     pub fn outlasts(&self, remaining: Millis, left: Millis) -> bool {
         if self.kind.may_repeat() {
             return false;
@@ -56,13 +56,13 @@
         remaining.0 as f64 * likely_fraction > left.0 as f64
     }
 
-    /// Rank among the work of its service, 0 first: each doubling of the prompt
-    /// tokens that are left to be prefilled counts as much as one step of the
-    /// route's priority. A short prefill holds nobody up, and a long one that
-    /// waits for it is hardly later.
+    /// Priority of the request at an engine of its service, 0 first. Each doubling of the
+    /// uncached tokens counts as much as one step of the route's priority: a short
+    /// prefill delays no other request, and a long one is hardly later if it waits for a
+    /// short one.
     ///
-    /// Deferred work comes last: it would be late anyway, and makes nobody else
-    /// late.
+    /// Deferred work has the lowest priority: it would be late anyway, and must not delay
+    /// others.
     pub fn engine_priority(&self, uncached_tokens: u64) -> u8 {
         if self.is_deferred {
             return LAST_RANK;
@@ -75,7 +75,7 @@
 }
 
 impl Prompt {
-    /// The prefixes that end with a part: the cache of a part counts only
+    /// Returns the prefixes that end with a part. The cache of a part can be used only
     /// behind all parts before it.
     pub fn prefixes(&self) -> Vec<Prefix> {
         let mut key = 0;
@@ -84,22 +84,21 @@
         for part in &self.parts {
             key = xxh3_64_with_seed(&part.id.to_le_bytes(), key);
             tokens += part.tokens;
-            // Half of the hash is enough to tell the prefixes that are in use
-            // from one another, and costs half on the wire. A belief about the
-            // wrong prefix costs time only.
+            // Half of the hash is enough to distinguish the prefixes in use, and halves
+            // the size on the wire. A wrong match costs time only.
             let id = PrefixId(key & u64::from(u32::MAX));
             prefixes.push(Prefix { id, tokens });
         }
         prefixes
     }
 
-    /// Tokens that will probably come out.
+    /// Likely number of output tokens.
     pub fn likely_output(&self) -> u64 {
         let likely = self.likely_output_tokens.unwrap_or(self.output_tokens);
         likely.min(self.output_tokens)
     }
 
-    /// The part of the most output that will probably come.
+    /// Likely output as a fraction of the maximum output.
     pub fn likely_fraction(&self) -> f64 {
         self.likely_output() as f64 / self.output_tokens.max(1) as f64
     }
@@ -109,15 +108,15 @@
         self.tokens + self.likely_output()
     }
 
-    /// Tokens of the longest prefix that other requests may share.
+    /// Length of the longest prefix that other requests may share.
     pub fn shared_tokens(&self) -> u64 {
         let last = self.parts.last().map_or(0, |part| part.tokens);
         let all: u64 = self.parts.iter().map(|part| part.tokens).sum();
         all - last
     }
 
-    /// The longest prefix that other requests may share, or the whole prompt
-    /// where it has one part only.
+    /// The longest prefix that other requests may share, or the whole prompt if it has
+    /// only one part.
     pub fn shared_prefix(&self) -> PrefixId {
         let prefixes = self.prefixes();
         let shared = prefixes.len().saturating_sub(2);
@@ -127,18 +126,18 @@
     }
 }
 
-/// What is known of a request.
+/// The known facts of a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Work {
-    /// What may be done with it.
+    /// What may be done with it, such as whether it may be repeated.
     pub kind: WorkKind,
-    /// Rank: 0 is the most urgent.
+    /// Priority of its route; 0 is the most urgent.
     pub priority: u8,
     /// Time within which its answer is useful.
     pub objective: Millis,
-    /// Most back ends that it may be sent to.
+    /// Maximum number of back ends that it may be sent to.
     pub max_attempts: u32,
-    /// Its prompt, for work of engines.
+    /// Its prompt, if it is work for engines.
     pub prompt: Option<Prompt>,
     /// Set when its answer can't be in time any more.
     pub is_deferred: bool,
