--- a/components/forwarding/src/forwarder/limits.rs
+++ b/components/forwarding/src/forwarder/limits.rs
@@ -1,5 +1,5 @@
-//! Back ends with a limit on requests a second from all gateways together, and permits to
-//! send to them.
+//! Back ends with a limit on requests per second from all gateways together, and permits
+//! to send to them.
 
 use garnet_control::LimitUpdate;
 use garnet_limits::{
@@ -15,20 +15,20 @@
 /// The limit in an answer of a back end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReportedLimit {
-    /// Requests a second that it takes.
+    /// The requests per second that it takes.
     Limited(RequestRate),
-    /// A proper answer without a limit.
+    /// A valid answer without a limit.
     Unlimited,
-    /// The answer shows neither.
+    /// The answer tells neither.
     Unknown,
 }
 
 impl Forwarder {
-    /// Notes whether the leader gives permits; one of an earlier version does not, and
-    /// requests are sent without any then, as before there were limits.
-    pub(super) fn set_permits_given(&mut self, are_given: bool) {
-        self.permits_are_given = are_given;
-        if !are_given {
+    /// Sets whether the leader grants permits. A leader of an earlier version does not,
+    /// and requests are then sent without permits, as before limits existed.
+    pub(super) fn set_permits_granted(&mut self, are_granted: bool) {
+        self.permits_are_granted = are_granted;
+        if !are_granted {
             self.limits = GatewayLimits::default();
             for backend in self.backends.values_mut() {
                 backend.has_limit = false;
@@ -38,8 +38,8 @@
 
     // ---- Reports of back ends ----
 
-    /// Takes the limit in an answer to a request that was sent at `sent_at`. Gives the
-    /// limit where it is news.
+    /// Records the limit in an answer to a request that was sent at `sent_at`. Returns
+    /// the limit if it is new.
     pub fn note_limit(
         &mut self,
         id: &BackendId,
@@ -47,7 +47,7 @@
         sent_at: Millis,
         now: Millis,
     ) -> Option<RequestRate> {
-        if !self.permits_are_given {
+        if !self.permits_are_granted {
             return None;
         }
         let backend = self.backends.get_mut(id)?;
@@ -66,22 +66,22 @@
         }
     }
 
-    /// Reports to send to the leader.
+    /// Returns the limit reports to send to the leader, if any.
     pub fn limit_reports(&mut self, now: Millis) -> Option<LimitReports> {
         self.limits.reports(now)
     }
 
-    /// Takes the leader's list of limits. Gives the back ends whose limit is over.
-    pub fn take_limits(&mut self, told: &LimitUpdate, now: Millis) -> Vec<BackendId> {
-        let over = self.limits.apply_list(told.list(), now);
-        let listed = told.limits.iter().map(|told| &told.backend);
-        for id in listed.chain(&over) {
+    /// Applies the leader's list of limits. Returns the back ends whose limit ended.
+    pub fn take_limits(&mut self, update: &LimitUpdate, now: Millis) -> Vec<BackendId> {
+        let ended = self.limits.apply_list(update.list(), now);
+        let listed = update.limits.iter().map(|entry| &entry.backend);
+        for id in listed.chain(&ended) {
             self.note_whether_limited(id);
         }
-        over
+        ended
     }
 
-    /// Keeps [`Backend::has_limit`] in step with the limits.
+    /// Updates [`Backend::has_limit`] after a change of the limits.
     pub(super) fn note_whether_limited(&mut self, id: &BackendId) {
         let has_limit = self.limits.rate(id).is_some();
         if let Some(backend) = self.backends.get_mut(id) {
@@ -89,14 +89,14 @@
         }
     }
 
-    /// Back ends that have a limit, as far as known.
+    /// Number of back ends with a known limit.
     pub fn limited_backends(&self) -> usize {
         self.limits.len()
     }
 
     // ---- Permits ----
 
-    /// Whether a request may be sent to a back end now: it takes requests, and has no
+    /// Whether a request may be sent to a back end now: it takes requests, and it has no
     /// limit or there is a permit.
     pub fn may_send(&self, id: &BackendId, now: Millis) -> bool {
         let backend = self.backends.get(id);
@@ -105,8 +105,8 @@
         takes_requests && self.limits.may_send(id, now)
     }
 
-    /// What to do for a request that no back end may be sent as things stand: those
-    /// that have a limit and could do all of it may have a permit for one more.
+    /// Decides what to do if no back end may be sent a request now: asks for a permit for
+    /// one of the limited back ends that could do the whole request.
     pub fn ask_for_permit(
         &mut self,
         service: &ServiceId,
@@ -131,9 +131,9 @@
             .request_permit(limited.iter(), work.priority, now)
     }
 
-    /// Each gateway asks for a permit with one of so many requests as there are
-    /// gateways, whether it needs one or not: the engine's permits are used, and the end of
-    /// the limit is noticed, also while other engines have room.
+    /// Asks for a permit with one in as many requests as there are gateways, whether this
+    /// gateway needs one or not. So the permits of a limited engine are used, and the end
+    /// of its limit is noticed, also while other engines have capacity.
     pub fn ask_for_spare_permit(
         &mut self,
         service: &ServiceId,
@@ -143,24 +143,24 @@
         if self.limits.is_empty() {
             return None;
         }
-        self.arrived = self.arrived.wrapping_add(1);
-        let turn = self.arrived.wrapping_add(self.seed);
-        if !turn.is_multiple_of(self.gateways.max(1)) {
+        self.arrival_count = self.arrival_count.wrapping_add(1);
+        let sequence = self.arrival_count.wrapping_add(self.seed);
+        if !sequence.is_multiple_of(self.gateways.max(1)) {
             return None;
         }
-        let may_help = |backend: &&Backend| {
+        let needs_permit = |backend: &&Backend| {
             backend.has_limit
                 && backend.is_open(now, false)
                 && !self.limits.may_send(&backend.registration.id, now)
         };
-        let could_take: Vec<BackendId> = self
+        let candidates: Vec<BackendId> = self
             .backends_of(service)
-            .filter(may_help)
+            .filter(needs_permit)
             .map(|backend| backend.registration.id.clone())
             .collect();
-        // One that nobody has sent to for long is as likely as any other.
-        let drawn = self.arrived as usize / self.gateways.max(1) as usize;
-        let one = could_take.get(drawn % could_take.len().max(1))?;
+        // A back end that has not been sent a request for long is as likely as any other.
+        let drawn = self.arrival_count as usize / self.gateways.max(1) as usize;
+        let one = candidates.get(drawn % candidates.len().max(1))?;
         match self
             .limits
             .request_permit([one].into_iter(), work.priority, now)
@@ -170,8 +170,8 @@
         }
     }
 
-    /// Takes the leader's answer to a question for a permit.
-    pub fn permit_answered(&mut self, answer: &PermitAnswer, now: Millis) {
+    /// Applies the leader's answer to a permit request.
+    pub fn on_permit_answer(&mut self, answer: &PermitAnswer, now: Millis) {
         self.limits.answered(answer, now);
     }
 }
--- a/components/forwarding/src/forwarder/mod.rs
+++ b/components/forwarding/src/forwarder/mod.rs
@@ -1,19 +1,19 @@
-//! What a gateway believes, and the decisions that rest on it.
+//! The gateway's view of the fleet, and the decisions that depend on it.
 
-mod admitting;
+mod admission;
 mod availability;
-mod beliefs;
 mod configuration;
 mod connections;
-mod fleet;
+mod estimates;
 mod limits;
+mod load_exchange;
 mod quarantine;
 
-pub use beliefs::PrefillWork;
-pub use fleet::FleetReport;
+pub use estimates::PrefillWork;
 pub use limits::ReportedLimit;
+pub use load_exchange::GatewayReport;
 
-use fleet::{BeliefsAge, Reporting};
+use load_exchange::{EstimateAge, Reporting};
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -24,25 +24,25 @@
 use garnet_types::{BackendId, BackendKind, Millis, ServiceId};
 
 use crate::access::{AccessDenied, Credential, authorize};
-use crate::admission::Returns;
+use crate::admission::PendingRetries;
+use crate::backend_groups::BackendGroups;
 use crate::backends::Backend;
 use crate::cache_lifetime::PromptRate;
 use crate::connections::SharingGateways;
-use crate::likes::KnownLikes;
 use crate::output_length::OutputLength;
 use crate::pace::{PrefillPace, TokenTime};
 use crate::placement::{
-    EngineView, Placement, Preference, place_application, place_decode, place_engines,
+    EngineView, Placement, PlacementContext, place_application, place_decode, place_engines,
 };
 use crate::residency::Residency;
-use crate::share::{BudgetShare, ServiceBudget};
+use crate::retry_budget::{ServiceBudget, SharedRetryBudget};
 use crate::work::Work;
 
-/// Draws that go on by this part of one are spread evenly at any count.
-const GOLDEN_PART: f64 = 0.618_033_988_749_894_9;
+/// Multiples of this number, modulo 1, are spread evenly however many are drawn.
+const GOLDEN_RATIO_CONJUGATE: f64 = 0.618_033_988_749_894_9;
 
-/// Gateways that share the budgets while that is not known: none of the fixed
-/// part may be used.
+/// Number of gateways that is assumed to share the retry budgets while it is unknown:
+/// none of the fixed number may be used.
 const UNKNOWN_GATEWAYS: u64 = u64::MAX;
 
 /// Settings of a forwarder.
@@ -51,12 +51,12 @@
     /// Zone of the gateway.
     pub zone: String,
     /// Repeats that all gateways together may send a service.
-    pub budget: BudgetShare,
-    /// Where the draws of split routes begin, between 0 and 1.
+    pub budget: SharedRetryBudget,
+    /// Where the draws for split routes begin, between 0 and 1.
     pub first_draw: f64,
 }
 
-/// A route and the service that takes this request.
+/// A route and the service that takes a request.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RouteChoice {
     /// The route.
@@ -65,45 +65,45 @@
     pub service: ServiceId,
 }
 
-/// Beliefs and decisions of one gateway.
+/// State and decisions of one gateway.
 #[derive(Debug)]
 pub struct Forwarder {
     settings: ForwarderSettings,
     configuration: Configuration,
-    /// A whole configuration that comes in parts.
+    /// Loads a full configuration that arrives in parts.
     loader: ConfigurationLoader,
-    /// Since when the configuration is one that no leader has confirmed yet.
+    /// Since when the configuration in force is one that no leader has confirmed.
     unconfirmed_since: Option<Millis>,
     routes: RouteIndex,
     backends: BTreeMap<BackendId, Backend>,
-    /// Their places, and who does the same work.
-    likes: KnownLikes,
-    /// Back ends that this gateway may have work at.
+    /// Back ends by position and by group.
+    groups: BackendGroups,
+    /// Back ends at which this gateway may have work in flight.
     with_own_work: BTreeSet<BackendId>,
-    /// Records of back ends that were followed so far.
-    records_followed: u64,
-    /// Back ends that the leader's newest digest names.
-    heard_of: Vec<BackendId>,
+    /// Number of back-end records applied so far.
+    records_applied: u64,
+    /// Back ends that the leader's last digest named.
+    in_last_digest: Vec<BackendId>,
     residency: BTreeMap<BackendId, Residency>,
     budgets: HashMap<ServiceId, ServiceBudget>,
     draws: HashMap<String, f64>,
     gateways: u64,
     sharing: SharingGateways,
-    /// Gateways among which the connections are shared out now.
+    /// Number of gateways among which connections are divided now.
     shared_among: u64,
-    drawn: u64,
+    draw_count: u64,
     learned: HashMap<ServiceId, Learned>,
-    /// Copies that the other gateways should hear of.
-    news: Vec<PromptCopy>,
+    /// Prefix copies to report to peer gateways.
+    pending_copies: Vec<PromptCopy>,
     reporting: Reporting,
-    beliefs_age: BeliefsAge,
+    estimate_age: EstimateAge,
     crash_log: CrashLog,
     /// Limits of back ends, and permits for them.
     limits: GatewayLimits,
-    permits_are_given: bool,
-    /// Requests that came so far, to share out who asks for a spare permit.
-    arrived: u64,
-    /// Parts this gateway's draws from those of the others.
+    permits_are_granted: bool,
+    /// Requests so far; tells which of them ask for a spare permit.
+    arrival_count: u64,
+    /// Makes the draws of this gateway differ from those of its peers.
     seed: u64,
 }
 
@@ -113,12 +113,12 @@
     prefill: PrefillPace,
     token_time: TokenTime,
     output_length: OutputLength,
-    returns: Returns,
+    pending_retries: PendingRetries,
     prompt_rate: PromptRate,
 }
 
 impl Forwarder {
-    /// A forwarder that knows nothing yet.
+    /// Creates a forwarder without any configuration.
     pub fn new(settings: ForwarderSettings) -> Self {
         let seed = settings.first_draw.to_bits();
         Forwarder {
@@ -128,46 +128,47 @@
             unconfirmed_since: None,
             routes: RouteIndex::default(),
             backends: BTreeMap::new(),
-            likes: KnownLikes::default(),
+            groups: BackendGroups::default(),
             with_own_work: BTreeSet::new(),
-            records_followed: 0,
-            heard_of: Vec::new(),
+            records_applied: 0,
+            in_last_digest: Vec::new(),
             residency: BTreeMap::new(),
             budgets: HashMap::new(),
             draws: HashMap::new(),
             gateways: 1,
             sharing: SharingGateways::default(),
             shared_among: 1,
-            drawn: 0,
+            draw_count: 0,
             learned: HashMap::new(),
-            news: Vec::new(),
+            pending_copies: Vec::new(),
             reporting: Reporting::default(),
-            beliefs_age: BeliefsAge::default(),
+            estimate_age: EstimateAge::default(),
             crash_log: CrashLog::default(),
             limits: GatewayLimits::default(),
-            permits_are_given: true,
-            arrived: 0,
+            permits_are_granted: true,
+            arrival_count: 0,
             seed,
         }
     }
 
     // ---- Routing ----
 
-    /// The route of a request and the service that takes it.
+    /// Returns the route of a request and the service that takes it.
     pub fn route(&mut self, host: &str, path: &str) -> Option<RouteChoice> {
         let route = self.routes.find(host, path)?;
         let first = self.settings.first_draw;
         let draw = self.draws.entry(route.name.clone()).or_insert(first);
-        *draw = (*draw + GOLDEN_PART).fract();
+        *draw = (*draw + GOLDEN_RATIO_CONJUGATE).fract();
         let service = route.pick_service(*draw)?.clone();
         let route = route.clone();
         Some(RouteChoice { route, service })
     }
 
-    /// The tenant of a request on `route`, where callers are asked for keys.
+    /// Returns the tenant of a request on `route`, if callers need keys.
     ///
     /// # Errors
-    /// Why the request is not let in, by the table in force.
+    ///
+    /// Returns why the request is denied by the route table in force.
     pub fn authorize(
         &self,
         route: &Route,
@@ -176,18 +177,18 @@
         authorize(&self.routes, route, credential)
     }
 
-    /// Rank of a request on `route`, 0 first.
+    /// Priority of a request on `route`, 0 first.
     pub fn priority(&self, route: &Route, tenant: Option<&Tenant>) -> u8 {
         self.routes.priority(route, tenant)
     }
 
-    /// Whether callers prove who they are to this gateway: what they present
-    /// is not passed on.
+    /// Whether callers authenticate to this gateway; their credentials are then not
+    /// passed on.
     pub fn asks_for_keys(&self) -> bool {
         self.routes.asks_for_keys()
     }
 
-    /// Where the request goes now. `None` when no back end can take it.
+    /// Chooses where the request goes now. `None` if no back end can take it.
     pub fn place(
         &mut self,
         service: &ServiceId,
@@ -196,58 +197,58 @@
         may_hand_over: bool,
         now: Millis,
     ) -> Option<Placement> {
-        self.drawn += 1;
-        let preference = Preference {
+        self.draw_count += 1;
+        let context = PlacementContext {
             may_hand_over,
-            ..self.preference(tried, now)
+            ..self.context(tried, now)
         };
-        // A back end that failed lately is better than none.
-        self.place_by(service, work, &preference).or_else(|| {
-            let preference = Preference {
-                despite_failures: true,
-                ..preference
+        // A back end that failed recently is better than none.
+        self.place_with(service, work, &context).or_else(|| {
+            let context = PlacementContext {
+                ignore_failures: true,
+                ..context
             };
-            self.place_by(service, work, &preference)
+            self.place_with(service, work, &context)
         })
     }
 
-    fn preference<'a>(&'a self, tried: &'a [BackendId], now: Millis) -> Preference<'a> {
-        Preference {
+    fn context<'a>(&'a self, tried: &'a [BackendId], now: Millis) -> PlacementContext<'a> {
+        PlacementContext {
             zone: &self.settings.zone,
             limits: &self.limits,
             now,
             tried,
             may_hand_over: true,
-            despite_failures: false,
-            despite_connections: false,
-            anywhere: false,
+            ignore_failures: false,
+            ignore_connections: false,
+            any_engine: false,
             sampled: 0,
-            draw: self.drawn,
+            draw: self.draw_count,
         }
     }
 
-    fn place_by(
+    fn place_with(
         &self,
         service: &ServiceId,
         work: &Work,
-        preference: &Preference<'_>,
+        context: &PlacementContext<'_>,
     ) -> Option<Placement> {
         let of_service = self.backends_of(service);
         let Some(prompt) = &work.prompt else {
-            return place_application(of_service, preference).map(Placement::One);
+            return place_application(of_service, context).map(Placement::One);
         };
         let engines = of_service.filter(|backend| backend.registration.kind == BackendKind::Engine);
-        let engines = self.views(engines);
-        let preference = Preference {
+        let engines = self.engine_views(engines);
+        let context = PlacementContext {
             sampled: self.engines_to_sample(service),
-            // Gateways that start together count alike.
-            draw: preference.draw.wrapping_add(self.seed),
-            ..*preference
+            // Gateways that start together have equal counters.
+            draw: context.draw.wrapping_add(self.seed),
+            ..*context
         };
-        place_engines(&engines, prompt, &preference)
+        place_engines(&engines, prompt, &context)
     }
 
-    /// Who generates from the KV cache that `prefill_engine` made, as things stand now.
+    /// Chooses the engine that decodes from the KV cache that `prefill_engine` made.
     pub fn place_decode(
         &mut self,
         service: &ServiceId,
@@ -255,22 +256,25 @@
         tried: &[BackendId],
         now: Millis,
     ) -> Option<BackendId> {
-        self.drawn += 1;
+        self.draw_count += 1;
         let zone = &self.backends.get(prefill_engine)?.registration.zone;
-        let find = |despite_failures| {
-            let preference = Preference {
-                despite_failures,
-                ..self.preference(tried, now)
+        let find = |ignore_failures| {
+            let context = PlacementContext {
+                ignore_failures,
+                ..self.context(tried, now)
             };
-            place_decode(self.backends_of(service), zone, &preference)
+            place_decode(self.backends_of(service), zone, &context)
         };
         find(false).or_else(|| find(true))
     }
 
-    /// Engines, given in their order, with what is believed of their caches.
-    fn views<'a>(&'a self, engines: impl Iterator<Item = &'a Backend>) -> Vec<EngineView<'a>> {
-        // Both are in order, so that no engine is looked up: a gateway knows the caches
-        // of a small part of the engines.
+    /// Pairs engines, given in order of their ids, with the estimates of their caches.
+    fn engine_views<'a>(
+        &'a self,
+        engines: impl Iterator<Item = &'a Backend>,
+    ) -> Vec<EngineView<'a>> {
+        // Both sequences are sorted, so no lookup is needed: a gateway has estimates for
+        // the caches of few engines only.
         let mut caches = self.residency.iter().peekable();
         let view = |backend: &'a Backend| {
             let id = &backend.registration.id;
@@ -288,41 +292,41 @@
             .filter(move |backend| backend.registration.service == *service)
     }
 
-    /// A back end.
+    /// Returns a back end.
     pub fn backend(&self, id: &BackendId) -> Option<&Backend> {
         self.backends.get(id)
     }
 
-    /// The address of a back end.
+    /// Returns the address of a back end.
     pub fn address(&self, id: &BackendId) -> Option<&str> {
         Some(&self.backend(id)?.registration.address)
     }
 
-    /// Back ends that take work now, of all that are known.
+    /// Number of back ends that take work now, and number of known back ends.
     pub fn open_backends(&self, now: Millis) -> (usize, usize) {
         let open = self.backends.values().filter(|b| b.is_open(now, false));
         (open.count(), self.backends.len())
     }
 
-    /// The back ends that are known, in their order.
+    /// Ids of the known back ends in their order.
     pub fn backend_ids(&self) -> impl Iterator<Item = &BackendId> {
         self.backends.keys()
     }
 
-    /// Back ends that are known.
+    /// Number of known back ends.
     pub fn known_backends(&self) -> usize {
         self.backends.len()
     }
 
     // ---- Budgets ----
 
-    /// Notes the first attempt of a request.
+    /// Counts the first attempt of a request.
     pub fn earn_repeats(&mut self, service: &ServiceId, now: Millis) {
         let share = self.settings.budget;
         self.budget(service, now).earn(&share, now);
     }
 
-    /// Takes one repeat from the service's budget; `false` when none is left.
+    /// Spends one repeat from the service's budget; returns `false` if none is left.
     pub fn spend_repeat(&mut self, service: &ServiceId, now: Millis) -> bool {
         let share = self.settings.budget;
         let gateways = self.gateways_that_share();
@@ -346,6 +350,6 @@
     fn budget(&mut self, service: &ServiceId, now: Millis) -> &mut ServiceBudget {
         self.budgets
             .entry(service.clone())
-            .or_insert_with(|| ServiceBudget::beginning_at(now))
+            .or_insert_with(|| ServiceBudget::starting_at(now))
     }
 }
