--- a/components/control/src/balancing.rs
+++ b/components/control/src/balancing.rs
@@ -8,7 +8,7 @@
 
 use garnet_planner::{
     BalanceSettings, PhaseOccupancy, initial_prefill_engines, take_from_fullest_zones,
-    wanted_prefill_engines,
+    target_prefill_engines,
 };
 use garnet_routes::EngineLimits;
 use garnet_types::{BackendId, EngineAssignment, EngineRole, Millis, ServiceId};
@@ -385,11 +385,11 @@
             prefill,
             ..*occupancy
         };
-        let wanted = wanted_prefill_engines(&more, settings);
+        let wanted = target_prefill_engines(&more, settings);
         if wanted > occupancy.prefill_engines {
             return wanted;
         }
-        wanted_prefill_engines(&fewer, settings).min(occupancy.prefill_engines)
+        target_prefill_engines(&fewer, settings).min(occupancy.prefill_engines)
     }
 
     /// Whether it is too early for an engine to change to `role`.
@@ -404,9 +404,9 @@
             return false;
         };
         let rest = if last.role == role {
-            settings.dwell
+            settings.min_dwell
         } else {
-            Millis(role_change.0 * settings.reversal_changes)
+            Millis(role_change.0 * settings.reversal_delay_factor)
         };
         now.since(last.at) < rest
     }
@@ -523,7 +523,7 @@
         decode_engines: roles.decode,
         prefill: prefilling as f64 / roles.prefill.max(1) as f64,
         decode: decode / roles.decode.max(1) as f64,
-        places: places + (idle as u64 * limits.slots) as f64,
+        decode_slots: places + (idle as u64 * limits.slots) as f64,
     }
 }
 
--- a/components/control/src/fleet_sizing.rs
+++ b/components/control/src/fleet_sizing.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use garnet_planner::{EngineKind, FleetTerms, ZoneFleet, wanted_fleet};
+use garnet_planner::{EngineKind, FleetConstraints, ZoneFleet, target_fleet};
 use garnet_routes::{BuyingTerms, RouteTable, ServiceSettings};
 use garnet_types::{BackendId, BackendKind, MachineState, Millis, ServiceId};
 
@@ -123,7 +123,7 @@
             };
             let needed = needed.get(&service.name).copied().unwrap_or_default();
             let zones: Vec<ZoneFleet> = seen.zones.values().copied().collect();
-            if wanted_fleet(needed, &fleet_terms(terms), &zones).is_some() {
+            if target_fleet(needed, &fleet_terms(terms), &zones).is_some() {
                 engines.extend(seen.dedicated_engines.iter().cloned());
             }
         }
@@ -162,7 +162,7 @@
             return vec![SizingStep::NoteNeeded(service.name.clone(), dedicated)];
         }
         let zones: Vec<ZoneFleet> = seen.zones.values().copied().collect();
-        let Some(wanted) = wanted_fleet(needed, &fleet_terms(terms), &zones) else {
+        let Some(wanted) = target_fleet(needed, &fleet_terms(terms), &zones) else {
             return Vec::new();
         };
         let is_settled = now.since(seen.grew_at) >= SETTLED_AFTER;
@@ -177,7 +177,7 @@
                     zone: zone.clone(),
                     kind,
                 };
-                let (present, wanted) = (present.of(kind), wanted.of(kind));
+                let (present, wanted) = (present.count(kind), wanted.count(kind));
                 if self.is_due(&key, present, wanted, terms.start_ms, now) {
                     steps.push(SizingStep::Order(key.order(wanted)));
                 }
@@ -269,10 +269,10 @@
     }
 }
 
-fn fleet_terms(terms: &BuyingTerms) -> FleetTerms {
-    FleetTerms {
-        least_in_zone: terms.least_in_zone,
-        most_in_zone: terms.most_in_zone,
+fn fleet_terms(terms: &BuyingTerms) -> FleetConstraints {
+    FleetConstraints {
+        min_per_zone: terms.least_in_zone,
+        max_per_zone: terms.most_in_zone,
         preemptible_price: terms.preemptible_price.map(|price| price.as_f64()),
     }
 }
--- a/components/control/src/planner_settings.rs
+++ b/components/control/src/planner_settings.rs
@@ -20,7 +20,7 @@
     let settings = PlannerSettings {
         role_change_price: price.unwrap_or(defaults.role_change_price),
         horizon: interval("horizon_ms", defaults.horizon),
-        minimum_dwell: interval("minimum_dwell_ms", defaults.minimum_dwell),
+        min_dwell: interval("minimum_dwell_ms", defaults.min_dwell),
         change_duration: interval("change_duration_ms", defaults.change_duration),
         fast_window: interval("fast_window_ms", defaults.fast_window),
         slow_window: interval("slow_window_ms", defaults.slow_window),
--- a/components/planner/src/average.rs
+++ b/components/planner/src/average.rs
@@ -1,15 +1,15 @@
-//! Fast and slow averages of the offered mix.
+//! Fast and slow exponential averages of the offered load.
 
 use garnet_types::Millis;
 
-/// What callers ask of a pool, in a second.
+/// Load that callers offer to a pool, per second.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Mix {
     /// Requests offered.
     pub requests: f64,
-    /// Of these, requests whose prompt takes an engine longer than their text.
+    /// Requests that take an engine longer to prefill than to decode; a subset of `requests`.
     pub prompt_bound: f64,
-    /// Prompt tokens to read, cached ones left out.
+    /// Prompt tokens to prefill, without those in the prefix cache.
     pub prompt_tokens: f64,
     /// Tokens to generate.
     pub output_tokens: f64,
@@ -27,12 +27,12 @@
     }
 }
 
-/// Two exponential averages of the same figures.
+/// A fast and a slow exponential average of the same load.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct FastSlowAverage {
-    /// Follows within seconds.
+    /// Average over the short window (seconds).
     pub fast: Mix,
-    /// Follows within minutes.
+    /// Average over the long window (tens of seconds to minutes).
     pub slow: Mix,
     fast_window: Millis,
     slow_window: Millis,
@@ -40,7 +40,7 @@
 }
 
 impl FastSlowAverage {
-    /// Empty averages with the given windows.
+    /// Creates empty averages with the given windows.
     pub fn new(fast_window: Millis, slow_window: Millis) -> Self {
         FastSlowAverage {
             fast: Mix::default(),
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Takes the mix of the time since the last call.
+    /// Adds the load that was offered since the last call.
     pub fn observe(&mut self, mix: Mix, now: Millis) {
         let Some(before) = self.updated_at.replace(now) else {
             self.fast = mix;
@@ -63,7 +63,7 @@
         self.slow = self.slow.blend(mix, weight(elapsed, self.slow_window));
     }
 
-    /// When the averages were last fed.
+    /// Time of the last call of [`FastSlowAverage::observe`].
     pub fn updated_at(&self) -> Option<Millis> {
         self.updated_at
     }
--- a/components/planner/src/balance.rs
+++ b/components/planner/src/balance.rs
@@ -1,112 +1,111 @@
-//! How many engines of a pool shall read prompts, from how occupied both
-//! phases are.
+//! Chooses the number of prefill engines of a pool from the occupancy of both phases.
 //!
-//! For pools whose engines do not state their speed. Occupancy needs no speed:
-//! with one prefill engine more, each prefill engine is occupied by as much less. A prefill engine
-//! prefills one prompt after the other: waiting grows with occupancy as in a queue
-//! with one server, x / (1 - x). Decode engines run many requests at once, and
-//! waiting for a place begins only when nearly all are taken.
+//! Used for pools whose engines do not report their speed. Occupancy can be scaled without
+//! knowing the speed: each additional prefill engine lowers the occupancy of all of them in
+//! proportion. A prefill engine prefills one prompt after the other, so waiting grows with
+//! occupancy as in a queue with one server, x / (1 - x). Decode engines run many requests at
+//! once, so requests wait for a slot only when nearly all slots are taken.
 
 use garnet_types::Millis;
 
-/// A step is one engine of so many: with it the engines of a phase that has a
-/// third of the pool change by a quarter, which is about what is worth a change.
+/// One of this many engines of a pool changes its role in a step. A phase with a third of the
+/// pool then changes by a quarter, about the smallest change that is worth its cost.
 const ENGINES_PER_STEP: usize = 12;
-/// A phase loses at most one engine of so many in a step: what the rest then has
-/// to do is worked out in proportion, which holds for small changes only (batches
-/// slow down, and KV transfers share fewer links).
-const LOSING_PER_STEP: usize = 4;
-/// Occupancy above this counts as this: the queue has no end there.
-const FULL: f64 = 0.95;
+/// A phase loses at most one of this many of its engines in a step. The load of the remaining
+/// engines is predicted in proportion, which holds for small changes only: batches slow down,
+/// and KV transfers share fewer links.
+const ENGINES_PER_LOSS: usize = 4;
+/// Occupancy at which the queue formula is capped, because it diverges at 1.
+const OCCUPANCY_CAP: f64 = 0.95;
 
-/// Engines of a phase that serve what comes until the load is known. A change of
-/// roles takes an engine out for seconds, and what it has cached; the measured
-/// load, a second later, may move a twelfth of the pool at once.
-const ENOUGH_UNTIL_KNOWN: usize = 64;
+/// Number of engines per phase that is enough until the load is known. A role change takes an
+/// engine out of service for seconds and empties its cache, while the first measured load, a
+/// second later, can move a twelfth of the pool at once.
+const ENOUGH_ENGINES_WITHOUT_LOAD: usize = 64;
 
-/// How occupied the phases of a pool are.
+/// Occupancy of the two phases of a pool.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct PhaseOccupancy {
-    /// Engines that read prompts for others.
+    /// Engines that only prefill.
     pub prefill_engines: usize,
-    /// Engines that generate.
+    /// Engines that decode.
     pub decode_engines: usize,
-    /// Part of the time in which a prefill engine has a prompt to read.
+    /// Fraction of the time in which a prefill engine is busy with a prompt.
     pub prefill: f64,
-    /// Part of a decode engine's room that is taken: of its slots or its memory,
-    /// whichever is scarcer.
+    /// Fraction of a decode engine's slots or of its memory that is in use, whichever is larger.
     pub decode: f64,
-    /// Requests that fit into all decode engines together.
-    pub places: f64,
+    /// Requests that all decode engines together can run at once.
+    pub decode_slots: f64,
 }
 
-/// When a change is worth it.
+/// Thresholds for changes of the number of prefill engines.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct BalanceSettings {
-    /// Part of the engines that read while no load is known.
-    pub initial_share: f64,
-    /// What a taken slot counts against a prefill engine's time: batches slow down
-    /// gradually, queues do not.
+    /// Fraction of the engines that prefill while no load is known.
+    pub initial_prefill_share: f64,
+    /// Weight of waiting in the decode phase relative to the prefill phase. It is below 1
+    /// because a filling batch slows down gradually, a queue does not.
     pub decode_weight: f64,
-    /// A change must bring the congestion below this part of what it is.
-    pub worthwhile: f64,
-    /// Congestion below this is left as it is.
-    pub tolerable: f64,
-    /// Shortest time between two changes of a pool in the same direction.
-    pub dwell: Millis,
-    /// A change is taken back after so many times the time that it takes, at
-    /// the earliest.
-    pub reversal_changes: u64,
+    /// A change is made only if the predicted congestion, divided by the present one, is
+    /// below this ratio.
+    pub max_congestion_ratio: f64,
+    /// Congestion up to this value causes no change.
+    pub tolerated_congestion: f64,
+    /// Minimum time between two changes of a pool in the same direction.
+    pub min_dwell: Millis,
+    /// A change is reversed at the earliest after the duration of a role change, multiplied by
+    /// this factor.
+    pub reversal_delay_factor: u64,
 }
 
 impl Default for BalanceSettings {
     fn default() -> Self {
         BalanceSettings {
-            initial_share: 2.0 / 3.0,
+            initial_prefill_share: 2.0 / 3.0,
             decode_weight: 0.7,
-            worthwhile: 0.75,
-            tolerable: 0.6,
-            dwell: Millis::from_secs(1),
-            reversal_changes: 2,
+            max_congestion_ratio: 0.75,
+            tolerated_congestion: 0.6,
+            min_dwell: Millis::from_secs(1),
+            reversal_delay_factor: 2,
         }
     }
 }
 
 impl PhaseOccupancy {
-    /// Engines of both phases.
+    /// Number of engines of both phases.
     pub fn engines(&self) -> usize {
         self.prefill_engines + self.decode_engines
     }
 
-    /// Congestion if `prefill_engines` engines prefill and the rest decode.
+    /// Predicted congestion if `prefill_engines` engines prefill and the others decode.
     pub fn congestion(&self, prefill_engines: usize, settings: &BalanceSettings) -> f64 {
         let decode_engines = self.engines().saturating_sub(prefill_engines);
         if prefill_engines == 0 || decode_engines == 0 {
             return f64::INFINITY;
         }
         let prefill = self.prefill * self.prefill_engines as f64 / prefill_engines as f64;
-        let part = decode_engines as f64 / self.decode_engines.max(1) as f64;
-        let decode = self.decode / part;
-        let waiting_to_decode = waiting(decode, self.places * part);
+        let decode_ratio = decode_engines as f64 / self.decode_engines.max(1) as f64;
+        let decode = self.decode / decode_ratio;
+        let waiting_to_decode = waiting(decode, self.decode_slots * decode_ratio);
         waiting(prefill, 1.0) + settings.decode_weight * waiting_to_decode
     }
 }
 
-/// Waiting in a queue with so many servers, in service times of one of them:
-/// Sakasegawa's approximation, which is x / (1 - x) for one server.
+/// Mean waiting time in a queue with `servers` servers, in units of the service time.
+/// Sakasegawa's approximation; for one server it is x / (1 - x).
 fn waiting(occupancy: f64, servers: f64) -> f64 {
-    let bounded = occupancy.clamp(0.0, FULL);
+    let capped = occupancy.clamp(0.0, OCCUPANCY_CAP);
     let exponent = (2.0 * (servers.max(1.0) + 1.0)).sqrt() - 1.0;
-    // Beyond the bound more is still worse, so that a step in the right
-    // direction shows.
-    bounded.powf(exponent) / (1.0 - bounded) + (occupancy - bounded) * 20.0
+    // Above the cap the result still grows with the occupancy, so that a step in the right
+    // direction lowers it.
+    capped.powf(exponent) / (1.0 - capped) + (occupancy - capped) * 20.0
 }
 
-/// Prefill engines while no load is known, of a pool of which `present` prefill:
-/// the settings' share, with both phases served.
+/// Number of prefill engines while no load is known, in a pool where `present` engines prefill.
 ///
-/// Only a pool with a small phase follows the share: a guess is worth no engine
-/// where both phases serve what comes until the load is known.
+/// This is the configured share of the pool, with at least one engine for each phase. If both
+/// phases already have enough engines until the load is known, `present` is kept: changing
+/// roles by a guess isn't worth the interruption.
 pub fn initial_prefill_engines(
     engines: usize,
     present: usize,
@@ -115,29 +114,29 @@
     if engines < 2 {
         return 0;
     }
-    if present.min(engines.saturating_sub(present)) >= ENOUGH_UNTIL_KNOWN {
+    if present.min(engines.saturating_sub(present)) >= ENOUGH_ENGINES_WITHOUT_LOAD {
         return present;
     }
-    let share = (engines as f64 * settings.initial_share).round() as usize;
+    let share = (engines as f64 * settings.initial_prefill_share).round() as usize;
     share.clamp(1, engines - 1)
 }
 
-/// Prefill engines that the pool should have under this load: as many as there
-/// are, or more or fewer by one or by a step. A step is a part of the pool: in a
-/// large one a single engine changes nothing that is worth it.
-pub fn wanted_prefill_engines(occupancy: &PhaseOccupancy, settings: &BalanceSettings) -> usize {
+/// Number of prefill engines that the pool should have under this load: the present number, or
+/// one engine or one step more or less. A step is a fraction of the pool, since in a large pool
+/// a single engine makes no difference that is worth a change.
+pub fn target_prefill_engines(occupancy: &PhaseOccupancy, settings: &BalanceSettings) -> usize {
     let present = occupancy.prefill_engines;
-    let now = occupancy.congestion(present, settings);
-    if now <= settings.tolerable {
+    let present_congestion = occupancy.congestion(present, settings);
+    if present_congestion <= settings.tolerated_congestion {
         return present;
     }
     let step = occupancy.engines() / ENGINES_PER_STEP;
-    let bounded = |losing: usize| step.min(losing / LOSING_PER_STEP).max(1);
+    let capped = |phase_engines: usize| step.min(phase_engines / ENGINES_PER_LOSS).max(1);
     let steps = [
-        present.saturating_sub(bounded(present)),
+        present.saturating_sub(capped(present)),
         present.saturating_sub(1),
         present + 1,
-        present + bounded(occupancy.decode_engines),
+        present + capped(occupancy.decode_engines),
     ];
     let best = steps
         .into_iter()
@@ -149,7 +148,9 @@
         })
         .min_by(|left, right| left.1.total_cmp(&right.1));
     match best {
-        Some((prefill_engines, congestion)) if congestion < now * settings.worthwhile => {
+        Some((prefill_engines, congestion))
+            if congestion < present_congestion * settings.max_congestion_ratio =>
+        {
             prefill_engines
         }
         _ => present,
--- a/components/planner/src/fleet_size.rs
+++ b/components/planner/src/fleet_size.rs
@@ -1,22 +1,22 @@
-//! How many engines of which kind a service shall have in each zone, where
-//! engines can be bought and given back.
+//! Chooses the number of dedicated and preemptible engines of a service in each zone, for
+//! platforms where engines can be bought and released.
 //!
-//! Dedicated engines stay until they are given back. Preemptible ones cost a
-//! part of that, and the provider may take all of a zone away within seconds.
-//! As many of them are bought as are needed after the loss of a zone, if that
-//! costs less than what is needed in dedicated ones.
+//! Dedicated engines stay until they are released. Preemptible engines cost a fraction of a
+//! dedicated one, and the provider may revoke all of them in a zone within seconds. The planner
+//! buys enough preemptible engines to serve the load after the loss of a zone, if that costs
+//! less than serving the load with dedicated engines.
 
-/// A kind of engine.
+/// How an engine is bought.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum EngineKind {
-    /// Stays until it is given back.
+    /// Stays until it is released.
     Dedicated,
-    /// May be taken away at any time.
+    /// May be revoked by the provider at any time.
     Preemptible,
 }
 
 impl EngineKind {
-    /// Name in logs and metrics.
+    /// The name in logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             EngineKind::Dedicated => "dedicated",
@@ -25,120 +25,122 @@
     }
 }
 
-/// On which terms a service's engines are to be had.
+/// Limits and prices for buying the engines of a service.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct FleetTerms {
-    /// Fewest engines of a zone, of both kinds together.
-    pub least_in_zone: u32,
-    /// Most engines of a zone, of both kinds together.
-    pub most_in_zone: u32,
-    /// What a preemptible engine costs, as a part of a dedicated one; `None`
-    /// where there are none.
+pub struct FleetConstraints {
+    /// Minimum number of engines in a zone, both kinds together.
+    pub min_per_zone: u32,
+    /// Maximum number of engines in a zone, both kinds together.
+    pub max_per_zone: u32,
+    /// Price of a preemptible engine as a fraction of a dedicated one; `None` if no
+    /// preemptible engines are offered.
     pub preemptible_price: Option<f64>,
 }
 
-/// Engines of one zone, by kind.
+/// Number of engines in one zone, by kind.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ZoneFleet {
-    /// Engines that stay.
+    /// Dedicated engines.
     pub dedicated: u32,
-    /// Engines that may be taken away.
+    /// Preemptible engines.
     pub preemptible: u32,
 }
 
 impl ZoneFleet {
-    /// Engines of a kind.
-    pub fn of(&self, kind: EngineKind) -> u32 {
+    /// Number of engines of a kind.
+    pub fn count(&self, kind: EngineKind) -> u32 {
         match kind {
             EngineKind::Dedicated => self.dedicated,
             EngineKind::Preemptible => self.preemptible,
         }
     }
 
-    /// Engines of both kinds.
-    pub fn all(&self) -> u32 {
+    /// Number of engines of both kinds.
+    pub fn total(&self) -> u32 {
         self.dedicated + self.preemptible
     }
 }
 
-/// A fleet of preemptible engines is bought while it costs less than this part of
-/// what is needed in dedicated ones: the rest is for what their loss costs. Of the
-/// reserves that keep below it the largest is taken. Measured on the users' bench
-/// with a price of 0.18: docs/design/shifted-work.md.
-const WORTHWHILE: f64 = 0.5;
+/// Preemptible engines are bought if they cost less than this fraction of the dedicated engines
+/// that the load needs. The rest of the saving pays for the damage of revocations. Among the
+/// reserves below this cost the largest is chosen. See docs/design/shifted-work.md for the
+/// trade-off at a price of 0.18.
+const MAX_PREEMPTIBLE_COST_RATIO: f64 = 0.5;
 
-/// Engines of a zone and kind that come or go in one step at most. All gateways
-/// hear of each of them: with 3,000 given back at once in three zones, 300
-/// gateways heard of it 4.9 s later (sweep of the users' bench), where 4.0 are
-/// allowed.
-const MOST_IN_STEP: u32 = 100;
+/// Maximum number of engines of one zone and kind that are bought or released in one step.
+/// Every gateway receives an update for each of them: with 3,000 released at once in three
+/// zones, 300 gateways received the update only after 4.9 s, where 4.0 s are allowed.
+const MAX_CHANGE_PER_STEP: u32 = 100;
 
-/// What each zone shall have next while the load needs `needed` engines. `present`
-/// are the engines of each zone that serve now.
+/// The next target for each zone while the load needs `needed` engines. `present` holds the
+/// engines of each zone that are serving now.
 ///
-/// Dedicated engines are given back one for one as preemptible ones serve, so
-/// that no step of this plan leaves fewer than are needed. Where more was taken
-/// away than the reserve bears, dedicated ones are bought for what is missing.
+/// Dedicated engines are released one for one as preemptible ones start serving, so that no
+/// step leaves fewer engines than needed. If more engines were revoked than the reserve covers,
+/// dedicated engines are bought to fill the gap.
 ///
-/// Gives `None` where the fleet is to stay as it is.
-pub fn wanted_fleet(
+/// Returns `None` if the fleet should stay as it is.
+pub fn target_fleet(
     needed: u32,
-    terms: &FleetTerms,
+    constraints: &FleetConstraints,
     present: &[ZoneFleet],
 ) -> Option<Vec<ZoneFleet>> {
-    let preemptible = preemptible_in_zone(needed, terms, present.len())?;
+    let preemptible = preemptible_in_zone(needed, constraints, present.len())?;
     let serving: u32 = present.iter().map(|zone| zone.preemptible).sum();
     let dedicated: u32 = present.iter().map(|zone| zone.dedicated).sum();
-    let wanted_dedicated = needed.saturating_sub(serving);
-    let missing = wanted_dedicated.saturating_sub(dedicated);
+    let target_dedicated = needed.saturating_sub(serving);
+    let missing = target_dedicated.saturating_sub(dedicated);
     let missing_in_zone = missing.div_ceil(present.len() as u32);
-    let want = |zone: &ZoneFleet| {
+    let next_fleet = |zone: &ZoneFleet| {
         let dedicated = if missing > 0 {
-            let room = terms.most_in_zone.saturating_sub(zone.all());
+            let room = constraints.max_per_zone.saturating_sub(zone.total());
             zone.dedicated + missing_in_zone.min(room)
         } else {
-            part_of(zone.dedicated, wanted_dedicated, dedicated)
+            scale_down(zone.dedicated, target_dedicated, dedicated)
         };
-        let room = terms.most_in_zone.saturating_sub(zone.dedicated);
+        let room = constraints.max_per_zone.saturating_sub(zone.dedicated);
         ZoneFleet {
             dedicated: step(zone.dedicated, dedicated),
             preemptible: step(zone.preemptible, preemptible.min(room)),
         }
     };
-    Some(present.iter().map(want).collect())
+    Some(present.iter().map(next_fleet).collect())
 }
 
-/// The next step from the present number of engines to the one that is wanted.
-fn step(present: u32, wanted: u32) -> u32 {
-    let least = present.saturating_sub(MOST_IN_STEP);
-    wanted.clamp(least, present.saturating_add(MOST_IN_STEP))
+/// The number of engines after the next step from `present` towards `target`.
+fn step(present: u32, target: u32) -> u32 {
+    let least = present.saturating_sub(MAX_CHANGE_PER_STEP);
+    target.clamp(least, present.saturating_add(MAX_CHANGE_PER_STEP))
 }
 
-/// `engines`, scaled down as `from` is to `to`, rounded up.
-fn part_of(engines: u32, to: u32, from: u32) -> u32 {
+/// `engines` times `to / from`, rounded up; 0 if `from` is 0.
+fn scale_down(engines: u32, to: u32, from: u32) -> u32 {
     match from {
         0 => 0,
         from => (engines * to).div_ceil(from),
     }
 }
 
-/// Preemptible engines for each of so many zones: as many as leave what is needed
-/// when some of the zones are lost; of the largest number of lost zones that is
-/// worth its price, as far as a zone has room.
-fn preemptible_in_zone(needed: u32, terms: &FleetTerms, zones: usize) -> Option<u32> {
-    let price = terms.preemptible_price?;
+/// Number of preemptible engines for each of `zones` zones, so that the needed engines remain
+/// when some zones are lost. Covers the largest number of lost zones whose reserve is within
+/// [`MAX_PREEMPTIBLE_COST_RATIO`], limited to the maximum of a zone. Returns `None` if there is
+/// no such reserve that survives the loss of one zone.
+fn preemptible_in_zone(needed: u32, constraints: &FleetConstraints, zones: usize) -> Option<u32> {
+    let price = constraints.preemptible_price?;
     let zones = u32::try_from(zones).ok()?;
-    let in_zone = |lost: u32| {
-        let kept = needed.div_ceil(zones - lost);
-        kept.max(terms.least_in_zone).min(terms.most_in_zone)
+    let engines_per_zone = |lost: u32| {
+        let required = needed.div_ceil(zones - lost);
+        required
+            .max(constraints.min_per_zone)
+            .min(constraints.max_per_zone)
     };
-    let is_worthwhile = |engines: &u32| {
-        let costs = f64::from(engines * zones) * price;
-        costs < f64::from(needed) * WORTHWHILE
+    let is_affordable = |engines: &u32| {
+        let cost = f64::from(engines * zones) * price;
+        cost < f64::from(needed) * MAX_PREEMPTIBLE_COST_RATIO
     };
-    // Without a reserve for one zone the fleet stays dedicated.
-    let bears_one = |engines: &u32| engines * (zones - 1) >= needed;
-    let reserves = (1..zones).rev().map(in_zone);
-    let mut worthwhile = reserves.filter(is_worthwhile).filter(bears_one);
-    worthwhile.next()
+    // If the reserve doesn't cover the loss of one zone, only dedicated engines are used.
+    let survives_one_loss = |engines: &u32| engines * (zones - 1) >= needed;
+    let reserves = (1..zones).rev().map(engines_per_zone);
+    let mut affordable = reserves.filter(is_affordable).filter(survives_one_loss);
+    affordable.next()
 }
--- a/components/planner/src/lib.rs
+++ b/components/planner/src/lib.rs
@@ -1,10 +1,10 @@
-//! The role planner: how many engines of a pool read prompts, and when one of
-//! them should change its role.
+//! The role planner: decides how many engines of a pool prefill, and when an engine should
+//! change its role.
 //!
-//! Contract: [`Planner::observe`] takes what arrived; [`Planner::decide`] gives
-//! at most one role change. The loss of a split is a pure function
-//! ([`predicted_loss`]) of the offered load, so that baselines and tests can
-//! use it too. Without fresh figures the planner changes nothing.
+//! [`Planner::observe`] takes the offered load; [`Planner::decide`] returns at most one role
+//! change. The predicted loss of a split is a pure function of the offered load
+//! ([`predicted_loss`]), so that baselines and tests can use it too. Without recent load figures
+//! the planner changes nothing.
 
 mod average;
 mod balance;
@@ -17,10 +17,10 @@
 
 pub use average::{FastSlowAverage, Mix};
 pub use balance::{
-    BalanceSettings, PhaseOccupancy, initial_prefill_engines, wanted_prefill_engines,
+    BalanceSettings, PhaseOccupancy, initial_prefill_engines, target_prefill_engines,
 };
-pub use fleet_size::{EngineKind, FleetTerms, ZoneFleet, wanted_fleet};
-pub use loss::{PoolCapacity, Utilisation, can_give, predicted_loss, utilisation};
+pub use fleet_size::{EngineKind, FleetConstraints, ZoneFleet, target_fleet};
+pub use loss::{PoolCapacity, Utilisation, can_release_engine, predicted_loss, utilisation};
 pub use planner::{Engine, Planner, RoleChange};
 pub use settings::PlannerSettings;
 pub use split::Split;
--- a/components/planner/src/loss.rs
+++ b/components/planner/src/loss.rs
@@ -1,31 +1,30 @@
-//! Useful answers that a split is predicted to lose, in a second.
+//! Predicts how many useful answers per second a split of the engines loses.
 
 use garnet_types::{EngineCapacity, EngineRole};
 
 use crate::average::Mix;
 use crate::split::Split;
 
-/// What one engine of a pool can do.
+/// Throughput of one engine of a pool.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct PoolCapacity {
-    /// Prompt tokens that an engine reads in a second.
+    /// Prompt tokens that an engine prefills per second.
     pub prefill_tokens_per_second: f64,
-    /// Tokens that an engine generates in a second with all slots in use.
+    /// Tokens that an engine generates per second with all slots in use.
     pub decode_tokens_per_second: f64,
-    /// Part of a mixed engine's speed that is left for each phase when it does
-    /// both, since chunks of prompts and decode steps delay each other.
+    /// Fraction of a mixed engine's speed that remains for each phase when it does both,
+    /// because prefill chunks and decode steps delay each other.
     pub mixed_efficiency: f64,
 }
 
-/// Part of a mixed engine's speed that is left for each phase.
+/// Default of [`PoolCapacity::mixed_efficiency`].
 const MIXED_EFFICIENCY: f64 = 0.6;
-/// A phase gives an engine away only if it can do without: its utilisation
-/// afterwards stays below this. Taken from a phase that is short itself, an
-/// engine costs a long drain and gains next to nothing.
-const MOST_AFTER_GIVING: f64 = 0.95;
+/// A phase releases an engine only if its utilisation afterwards is at most this. Taking an
+/// engine from a phase that is short itself costs a long drain and gains next to nothing.
+const MAX_UTILISATION_AFTER_RELEASE: f64 = 0.95;
 
 impl PoolCapacity {
-    /// What an engine of this speed can do in a pool.
+    /// Throughput of an engine with the given capacity.
     pub fn of(engine: &EngineCapacity) -> Self {
         PoolCapacity {
             prefill_tokens_per_second: engine.prefill_tokens_per_second,
@@ -35,17 +34,16 @@
     }
 }
 
-/// Above this utilisation answers begin to be late.
+/// Utilisation above which answers start to be late.
 const COMFORTABLE_UTILISATION: f64 = 0.9;
-/// Part of the answers that is late at full utilisation.
-const LATE_AT_FULL: f64 = 0.08;
+/// Fraction of the answers that are late at full utilisation.
+const LATE_FRACTION_AT_FULL_UTILISATION: f64 = 0.08;
 
-/// Predicted loss of a split under a mix, in answers a second.
+/// Predicted loss of a split under a load, in answers per second.
 ///
-/// A request is lost where it needs most: admission refuses long prompts when
-/// the prefill phase is full, and long texts when the decode phase is, while
-/// the others still pass. Close to a phase's limit a queue forms and answers
-/// are late.
+/// A request is lost in the phase that it needs most: admission refuses long prompts when the
+/// prefill phase is full, and long texts when the decode phase is full, while other requests
+/// are still admitted. Close to the limit of a phase a queue forms and answers are late.
 pub fn predicted_loss(split: &Split, mix: &Mix, capacity: &PoolCapacity) -> f64 {
     if mix.requests <= 0.0 {
         return 0.0;
@@ -56,58 +54,61 @@
     prompt_bound * (1.0 - useful_share(prefill)) + output_bound * (1.0 - useful_share(decode))
 }
 
-/// Need of each phase as a part of what its engines can do; above one, work is
-/// refused.
+/// Load of each phase divided by the capacity of its engines; above 1, work is refused.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Utilisation {
-    /// Of the prefill phase.
+    /// Utilisation of the prefill phase.
     pub prefill: f64,
-    /// Of the decode phase.
+    /// Utilisation of the decode phase.
     pub decode: f64,
 }
 
-/// Utilisation of both phases under a mix.
+/// Utilisation of both phases under a load.
 pub fn utilisation(split: &Split, mix: &Mix, capacity: &PoolCapacity) -> Utilisation {
-    let prefill_need = mix.prompt_tokens / capacity.prefill_tokens_per_second.max(1.0);
-    let decode_need = mix.output_tokens / capacity.decode_tokens_per_second.max(1.0);
+    let prefill_load = mix.prompt_tokens / capacity.prefill_tokens_per_second.max(1.0);
+    let decode_load = mix.output_tokens / capacity.decode_tokens_per_second.max(1.0);
     let shared = f64::from(split.mixed) * capacity.mixed_efficiency;
     let (to_prefill, to_decode) = divide_shared(
         shared,
-        prefill_need - f64::from(split.prefill),
-        decode_need - f64::from(split.decode),
+        prefill_load - f64::from(split.prefill),
+        decode_load - f64::from(split.decode),
     );
     Utilisation {
-        prefill: ratio(prefill_need, f64::from(split.prefill) + to_prefill),
-        decode: ratio(decode_need, f64::from(split.decode) + to_decode),
+        prefill: ratio(prefill_load, f64::from(split.prefill) + to_prefill),
+        decode: ratio(decode_load, f64::from(split.decode) + to_decode),
     }
 }
 
-/// Whether the role that an engine was taken from can do without it: `next` is
-/// the split afterwards.
-pub fn can_give(from: EngineRole, next: &Split, mix: &Mix, capacity: &PoolCapacity) -> bool {
+/// Whether the role `from` can spare an engine; `next` is the split after the change.
+pub fn can_release_engine(
+    from: EngineRole,
+    next: &Split,
+    mix: &Mix,
+    capacity: &PoolCapacity,
+) -> bool {
     let after = utilisation(next, mix, capacity);
     match from {
-        EngineRole::Prefill => after.prefill <= MOST_AFTER_GIVING,
-        EngineRole::Decode => after.decode <= MOST_AFTER_GIVING,
+        EngineRole::Prefill => after.prefill <= MAX_UTILISATION_AFTER_RELEASE,
+        EngineRole::Decode => after.decode <= MAX_UTILISATION_AFTER_RELEASE,
         EngineRole::Mixed => true,
     }
 }
 
-/// Mixed engines go where the need is, in proportion to what is missing.
+/// Divides the capacity of mixed engines between the phases in proportion to what each lacks.
 fn divide_shared(shared: f64, prefill_missing: f64, decode_missing: f64) -> (f64, f64) {
     let prefill = prefill_missing.max(0.01);
     let decode = decode_missing.max(0.01);
-    let part = prefill / (prefill + decode);
-    (shared * part, shared * (1.0 - part))
+    let prefill_share = prefill / (prefill + decode);
+    (shared * prefill_share, shared * (1.0 - prefill_share))
 }
 
-fn ratio(need: f64, have: f64) -> f64 {
-    if need <= 0.0 {
+fn ratio(load: f64, available: f64) -> f64 {
+    if load <= 0.0 {
         0.0
-    } else if have <= 0.0 {
+    } else if available <= 0.0 {
         f64::INFINITY
     } else {
-        need / have
+        load / available
     }
 }
 
@@ -118,5 +119,5 @@
         1.0
     };
     let strain = (utilisation - COMFORTABLE_UTILISATION) / (1.0 - COMFORTABLE_UTILISATION);
-    capacity_share * (1.0 - LATE_AT_FULL * strain.clamp(0.0, 1.0))
+    capacity_share * (1.0 - LATE_FRACTION_AT_FULL_UTILISATION * strain.clamp(0.0, 1.0))
 }
--- a/components/planner/src/planner.rs
+++ b/components/planner/src/planner.rs
@@ -1,34 +1,35 @@
-//! The decision: at most one role change of a pool at a time.
+//! Decides on role changes: at most one at a time in a pool.
 
 use garnet_types::{BackendId, EngineRole, Millis};
 
 use crate::average::{FastSlowAverage, Mix};
-use crate::loss::{PoolCapacity, can_give, predicted_loss};
+use crate::loss::{PoolCapacity, can_release_engine, predicted_loss};
 use crate::settings::PlannerSettings;
 use crate::split::Split;
 
-/// A phase that was given an engine has it after so long, or gets another.
-const RESTORE_PAUSE: Millis = Millis::from_secs(15);
+/// Time to wait for an engine that was moved to a phase without engines, before another one
+/// is moved.
+const RESTORE_TIMEOUT: Millis = Millis::from_secs(15);
 
-/// An engine of the pool as the planner sees it.
+/// The state of one engine of the pool.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Engine {
-    /// The engine.
+    /// Identifier of the engine.
     pub id: BackendId,
-    /// Role that it has or is about to have.
+    /// The current role, or the next one during a role change.
     pub role: EngineRole,
-    /// Whether it serves; else it is changing, leaving or lost.
+    /// Whether it serves requests; if not, it is changing its role, leaving or lost.
     pub serving: bool,
-    /// Requests that it works on: the least loaded one is changed.
+    /// Requests in flight; the least loaded engine is chosen for a role change.
     pub load: u64,
 }
 
-/// One change that the planner wants.
+/// A role change of one engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RoleChange {
-    /// The engine.
+    /// Identifier of the engine.
     pub engine: BackendId,
-    /// Its next role.
+    /// The new role.
     pub to: EngineRole,
 }
 
@@ -42,7 +43,7 @@
 }
 
 impl Planner {
-    /// A planner that has seen nothing yet.
+    /// Creates a planner without any load figures.
     pub fn new(settings: PlannerSettings) -> Self {
         Planner {
             averages: FastSlowAverage::new(settings.fast_window, settings.slow_window),
@@ -52,22 +53,22 @@
         }
     }
 
-    /// Replaces the price of a role change, keeping the averages.
+    /// Sets the price of a role change and keeps the averages.
     pub fn set_price(&mut self, role_change_price: f64) {
         self.settings.role_change_price = role_change_price;
     }
 
-    /// Takes the mix offered since the last call.
+    /// Adds the load that was offered since the last call.
     pub fn observe(&mut self, mix: Mix, now: Millis) {
         self.averages.observe(mix, now);
     }
 
-    /// The averages, for status pages.
+    /// The load averages, for status pages.
     pub fn averages(&self) -> &FastSlowAverage {
         &self.averages
     }
 
-    /// The change to make now, if one is worth its price.
+    /// Returns the role change to make now, if one is worth its price.
     pub fn decide(
         &mut self,
         engines: &[Engine],
@@ -93,49 +94,53 @@
         })
     }
 
-    /// A phase that no engine serves gets one from the other phase at once,
-    /// whatever the averages and the price say: without it the pool answers
-    /// nothing.
+    /// Moves an engine to a phase that has none, regardless of the averages and the price:
+    /// without that phase the pool can't answer any request.
     fn restore_phase(&self, engines: &[Engine], now: Millis) -> Option<RoleChange> {
-        let under_way = self
+        let restoring = self
             .restored_at
-            .is_some_and(|at| now.since(at) < RESTORE_PAUSE);
+            .is_some_and(|at| now.since(at) < RESTORE_TIMEOUT);
         let serving: Vec<Engine> = engines
             .iter()
             .filter(|engine| engine.serving)
             .cloned()
             .collect();
         let missing = missing_phase(&serving)?;
-        let giver = match missing {
+        let donor_role = match missing {
             EngineRole::Prefill => EngineRole::Decode,
             _ => EngineRole::Prefill,
         };
-        let spare = serving.iter().filter(|engine| engine.role == giver).count() > 1;
-        if under_way || !spare {
+        let has_spare = serving
+            .iter()
+            .filter(|engine| engine.role == donor_role)
+            .count()
+            > 1;
+        if restoring || !has_spare {
             return None;
         }
-        let engine = least_loaded(&serving, giver)?.id.clone();
+        let engine = least_loaded(&serving, donor_role)?.id.clone();
         Some(RoleChange {
             engine,
             to: missing,
         })
     }
 
-    /// One change at a time, not too soon after the last, on fresh figures.
+    /// Whether a change is allowed: load figures are recent, the minimum time since the last
+    /// change has passed, and no other change is in progress.
     fn may_change(&self, engines: &[Engine], now: Millis) -> bool {
         let fresh = self
             .averages
             .updated_at()
             .is_some_and(|at| now.since(at) <= self.settings.stale_after);
-        let rested = self
+        let dwell_passed = self
             .changed_at
-            .is_none_or(|at| now.since(at) >= self.settings.minimum_dwell);
-        let settled = engines.iter().all(|engine| engine.serving);
-        fresh && rested && settled
+            .is_none_or(|at| now.since(at) >= self.settings.min_dwell);
+        let all_serving = engines.iter().all(|engine| engine.serving);
+        fresh && dwell_passed && all_serving
     }
 
-    /// The step with the largest gain over its price. Both averages must agree
-    /// that it gains: a swing that turns back at once moves only the fast one.
+    /// The role change with the largest positive gain. The gain weighs both averages, since a
+    /// short swing of the load moves only the fast one.
     fn best_step(
         &self,
         split: &Split,
@@ -143,7 +148,9 @@
     ) -> Option<(EngineRole, EngineRole)> {
         self.steps(split)
             .into_iter()
-            .filter(|(from, _, next)| can_give(*from, next, &self.averages.fast, capacity))
+            .filter(|(from, _, next)| {
+                can_release_engine(*from, next, &self.averages.fast, capacity)
+            })
             .map(|(from, to, next)| (self.gain(split, &next, from, capacity), from, to))
             .filter(|(gain, _, _)| *gain > 0.0)
             .max_by(|left, right| left.0.total_cmp(&right.0))
@@ -170,15 +177,16 @@
         steps
     }
 
-    /// Answers gained over the horizon, less those lost while the engine is
-    /// out of service, less the price.
+    /// Answers gained over the horizon, minus those lost while the engine is out of service,
+    /// minus the price.
     fn gain(&self, split: &Split, next: &Split, from: EngineRole, capacity: &PoolCapacity) -> f64 {
         let fast = self.gain_under(&self.averages.fast, split, next, from, capacity);
         let slow = self.gain_under(&self.averages.slow, split, next, from, capacity);
-        // Where a change is dear, the slow average has to bear it out.
-        let patience = self.settings.role_change_price / (self.settings.role_change_price + 50.0);
-        let weighed = fast * (1.0 - patience) + slow * patience;
-        weighed - self.settings.role_change_price
+        // The higher the price of a change, the more the slow average counts.
+        let slow_weight =
+            self.settings.role_change_price / (self.settings.role_change_price + 50.0);
+        let weighted_gain = fast * (1.0 - slow_weight) + slow * slow_weight;
+        weighted_gain - self.settings.role_change_price
     }
 
     fn gain_under(
@@ -189,16 +197,16 @@
         from: EngineRole,
         capacity: &PoolCapacity,
     ) -> f64 {
-        let now_lost = predicted_loss(split, mix, capacity);
-        let then_lost = predicted_loss(next, mix, capacity);
-        let while_lost = predicted_loss(&split.without(from), mix, capacity);
+        let loss_now = predicted_loss(split, mix, capacity);
+        let loss_after = predicted_loss(next, mix, capacity);
+        let loss_during = predicted_loss(&split.without(from), mix, capacity);
         let change = self.settings.change_duration.as_secs_f64();
-        let rest = self.settings.horizon.as_secs_f64() - change;
-        (now_lost - then_lost) * rest - (while_lost - now_lost) * change
+        let remaining = self.settings.horizon.as_secs_f64() - change;
+        (loss_now - loss_after) * remaining - (loss_during - loss_now) * change
     }
 }
 
-/// The phase that no engine serves.
+/// Returns the phase that has no serving engine, if there is one.
 fn missing_phase(serving: &[Engine]) -> Option<EngineRole> {
     let served = Split::of(serving.iter().map(|engine| engine.role));
     if served.prefill + served.mixed == 0 {
--- a/components/planner/src/split.rs
+++ b/components/planner/src/split.rs
@@ -1,20 +1,20 @@
-//! How the engines of a pool are divided over the roles.
+//! The division of a pool's engines among the roles.
 
 use garnet_types::EngineRole;
 
-/// Engines of each role.
+/// Number of engines of each role.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Split {
-    /// Engines that only read prompts.
+    /// Engines that only prefill.
     pub prefill: u32,
-    /// Engines that only generate.
+    /// Engines that only decode.
     pub decode: u32,
     /// Engines that do both.
     pub mixed: u32,
 }
 
 impl Split {
-    /// Counts roles.
+    /// Counts the engines of each role.
     pub fn of(roles: impl Iterator<Item = EngineRole>) -> Self {
         let mut split = Split::default();
         for role in roles {
@@ -23,13 +23,13 @@
         split
     }
 
-    /// Whether each phase has an engine.
+    /// Whether each phase has at least one engine.
     pub fn serves_both_phases(&self) -> bool {
         self.prefill + self.mixed > 0 && self.decode + self.mixed > 0
     }
 
-    /// The split after one engine changed from one role to another, or `None`
-    /// when there is no such engine or a phase would be left without one.
+    /// The split after one engine changes its role. Returns `None` if no engine has the role
+    /// `from` or if a phase would be left without an engine.
     pub fn after(&self, from: EngineRole, to: EngineRole) -> Option<Split> {
         let mut next = *self;
         let count = next.count_mut(from);
--- a/components/planner/src/zone_spread.rs
+++ b/components/planner/src/zone_spread.rs
@@ -1,34 +1,34 @@
-//! Which engines of a pool change their role, so that each zone keeps both.
+//! Selects the engines that change their role, spread over the zones.
 
 use std::collections::BTreeMap;
 
-/// Takes up to `count` of `candidates`, one after the other, each time the last
-/// one of the zone in which most of them are left. The last one of a zone stays:
-/// a KV cache would leave its zone.
+/// Takes up to `count` of `candidates`, each time the last one of the zone that has the most
+/// candidates left. The last candidate of a zone is never taken, because KV caches would then
+/// have to be transferred between zones.
 ///
-/// Looks at the zone of each candidate once, so that a leader decides a change of
-/// ten thousand engines within its lease.
+/// Looks up the zone of each candidate only once, so that a leader decides a change of ten
+/// thousand engines within its lease.
 pub fn take_from_fullest_zones<'z, T>(
     candidates: Vec<T>,
     count: usize,
     zone_of: impl Fn(&T) -> &'z str,
 ) -> Vec<T> {
-    let mut left: BTreeMap<&str, Vec<(usize, T)>> = BTreeMap::new();
-    for (place, candidate) in candidates.into_iter().enumerate() {
-        let zone = left.entry(zone_of(&candidate)).or_default();
-        zone.push((place, candidate));
+    let mut remaining: BTreeMap<&str, Vec<(usize, T)>> = BTreeMap::new();
+    for (position, candidate) in candidates.into_iter().enumerate() {
+        let zone = remaining.entry(zone_of(&candidate)).or_default();
+        zone.push((position, candidate));
     }
-    let mut taken = Vec::new();
-    while taken.len() < count {
+    let mut selected = Vec::new();
+    while selected.len() < count {
         let fullness = |zone: &&mut Vec<(usize, T)>| {
-            let last = zone.last().map(|(place, _)| *place);
+            let last = zone.last().map(|(position, _)| *position);
             (zone.len(), last)
         };
-        let fullest = left.values_mut().max_by_key(fullness);
+        let fullest = remaining.values_mut().max_by_key(fullness);
         let Some(zone) = fullest.filter(|zone| zone.len() > 1) else {
             break;
         };
-        taken.extend(zone.pop().map(|(_, candidate)| candidate));
+        selected.extend(zone.pop().map(|(_, candidate)| candidate));
     }
-    taken
+    selected
 }
--- a/components/planner/tests/balance.rs
+++ b/components/planner/tests/balance.rs
@@ -1,7 +1,7 @@
-//! How many engines read, from how occupied both phases are.
+//! The number of prefill engines that follows from the occupancy of both phases.
 
 use garnet_planner::{
-    BalanceSettings, PhaseOccupancy, initial_prefill_engines, wanted_prefill_engines,
+    BalanceSettings, PhaseOccupancy, initial_prefill_engines, target_prefill_engines,
 };
 use proptest::prelude::*;
 use rstest::rstest;
@@ -17,60 +17,64 @@
         decode_engines,
         prefill,
         decode,
-        places: 1.0,
+        decode_slots: 1.0,
     }
 }
 
 #[rstest]
 #[case::quiet(occupancy(4, 5, 0.2, 0.1), 4)]
-#[case::readers_are_short(occupancy(4, 5, 0.9, 0.1), 5)]
-#[case::generators_are_short(occupancy(6, 3, 0.2, 0.95), 5)]
-#[case::both_are_short(occupancy(4, 5, 0.9, 0.9), 4)]
-#[case::the_last_generator_stays(occupancy(8, 1, 0.9, 0.1), 8)]
-#[case::the_last_reader_stays(occupancy(1, 8, 0.1, 0.9), 1)]
-fn readers_that_are_wanted(#[case] seen: PhaseOccupancy, #[case] wanted: usize) {
+#[case::prefill_is_short_of_engines(occupancy(4, 5, 0.9, 0.1), 5)]
+#[case::decode_is_short_of_engines(occupancy(6, 3, 0.2, 0.95), 5)]
+#[case::both_are_short_of_engines(occupancy(4, 5, 0.9, 0.9), 4)]
+#[case::the_last_decode_engine_stays(occupancy(8, 1, 0.9, 0.1), 8)]
+#[case::the_last_prefill_engine_stays(occupancy(1, 8, 0.1, 0.9), 1)]
+fn target_number_of_prefill_engines(#[case] load: PhaseOccupancy, #[case] target: usize) {
     assert_eq!(
-        wanted_prefill_engines(&seen, &BalanceSettings::default()),
-        wanted
+        target_prefill_engines(&load, &BalanceSettings::default()),
+        target
     );
 }
 
-/// Decode engines run many requests at once: nobody waits for a place while one
-/// in ten is free.
+/// Decode engines run many requests at once: no request waits for a slot while one in ten is
+/// free.
 #[rstest]
-#[case::most_places_are_taken(0.8, 0.85, 8)]
+#[case::most_slots_are_used(0.8, 0.85, 8)]
 #[case::prefill_is_short(0.9, 0.5, 9)]
-#[case::all_places_are_taken(0.3, 1.2, 7)]
-fn a_full_batch_is_no_queue(#[case] prefill: f64, #[case] decode: f64, #[case] wanted: usize) {
-    let seen = PhaseOccupancy {
-        places: 4.0 * 48.0,
+#[case::all_slots_are_used(0.3, 1.2, 7)]
+fn a_full_batch_does_not_queue_requests(
+    #[case] prefill: f64,
+    #[case] decode: f64,
+    #[case] target: usize,
+) {
+    let load = PhaseOccupancy {
+        decode_slots: 4.0 * 48.0,
         ..occupancy(8, 4, prefill, decode)
     };
     assert_eq!(
-        wanted_prefill_engines(&seen, &BalanceSettings::default()),
-        wanted
+        target_prefill_engines(&load, &BalanceSettings::default()),
+        target
     );
 }
 
-/// In a large pool one engine more changes nothing that is worth a change; a
-/// step does.
+/// In a large pool a single engine makes no difference that is worth a change, so the number
+/// changes by steps.
 #[rstest]
 #[case::prefill_is_short(0.7, 0.4, 120)]
 #[case::decode_is_short(0.3, 1.1, 94)]
 #[case::quiet(0.3, 0.3, 107)]
-fn a_large_pool_moves_by_steps(#[case] prefill: f64, #[case] decode: f64, #[case] wanted: usize) {
-    let seen = PhaseOccupancy {
-        places: 53.0 * 24.0,
+fn a_large_pool_changes_by_steps(#[case] prefill: f64, #[case] decode: f64, #[case] target: usize) {
+    let load = PhaseOccupancy {
+        decode_slots: 53.0 * 24.0,
         ..occupancy(107, 53, prefill, decode)
     };
     assert_eq!(
-        wanted_prefill_engines(&seen, &BalanceSettings::default()),
-        wanted
+        target_prefill_engines(&load, &BalanceSettings::default()),
+        target
     );
 }
 
-/// A phase that has become small is not taken apart in one step: what its rest has
-/// to do grows faster than in proportion.
+/// A small phase loses only a few engines in a step, because the load of its remaining engines
+/// grows faster than in proportion.
 #[rstest]
 #[case::few_decode_engines(133, 27, 0.7, 0.42, 139)]
 #[case::few_prefill_engines(24, 136, 0.3, 1.1, 18)]
@@ -79,17 +83,17 @@
     #[case] decode_engines: usize,
     #[case] prefill: f64,
     #[case] decode: f64,
-    #[case] wanted: usize,
+    #[case] target: usize,
 ) {
-    let seen = PhaseOccupancy {
-        places: decode_engines as f64 * 24.0,
+    let load = PhaseOccupancy {
+        decode_slots: decode_engines as f64 * 24.0,
         ..occupancy(prefill_engines, decode_engines, prefill, decode)
     };
     let settings = BalanceSettings {
-        worthwhile: 1.0,
+        max_congestion_ratio: 1.0,
         ..BalanceSettings::default()
     };
-    assert_eq!(wanted_prefill_engines(&seen, &settings), wanted);
+    assert_eq!(target_prefill_engines(&load, &settings), target);
 }
 
 #[rstest]
@@ -98,7 +102,7 @@
 #[case(1, 0)]
 #[case(0, 0)]
 #[case(90, 60)]
-fn readers_before_any_load(#[case] engines: usize, #[case] prefill_engines: usize) {
+fn prefill_engines_before_any_load(#[case] engines: usize, #[case] prefill_engines: usize) {
     assert_eq!(
         initial_prefill_engines(engines, 0, &BalanceSettings::default()),
         prefill_engines
@@ -106,27 +110,26 @@
 }
 
 proptest! {
-    /// Both phases stay served, and a change that was worth it is not taken
-    /// back under the same load.
+    /// Both phases keep an engine, and a change is not reversed under the same load.
     #[test]
-    fn no_flapping(prefill_engines in 1_usize..40, decode_engines in 1_usize..40, prefill in 0.0_f64..2.0, decode in 0.0_f64..2.0) {
+    fn no_oscillation(prefill_engines in 1_usize..40, decode_engines in 1_usize..40, prefill in 0.0_f64..2.0, decode in 0.0_f64..2.0) {
         let settings = BalanceSettings::default();
         let before = occupancy(prefill_engines, decode_engines, prefill, decode);
-        let wanted = wanted_prefill_engines(&before, &settings);
-        prop_assert!(wanted >= 1 && wanted < prefill_engines + decode_engines);
-        let rest = prefill_engines + decode_engines - wanted;
+        let target = target_prefill_engines(&before, &settings);
+        prop_assert!(target >= 1 && target < prefill_engines + decode_engines);
+        let rest = prefill_engines + decode_engines - target;
         let after = occupancy(
-            wanted,
+            target,
             rest,
-            prefill * prefill_engines as f64 / wanted as f64,
+            prefill * prefill_engines as f64 / target as f64,
             decode * decode_engines as f64 / rest as f64,
         );
-        let next = wanted_prefill_engines(&after, &settings);
-        if wanted > prefill_engines {
-            prop_assert!(next >= wanted);
+        let next = target_prefill_engines(&after, &settings);
+        if target > prefill_engines {
+            prop_assert!(next >= target);
         }
-        if wanted < prefill_engines {
-            prop_assert!(next <= wanted);
+        if target < prefill_engines {
+            prop_assert!(next <= target);
         }
     }
 }
--- a/components/planner/tests/fleet_size.rs
+++ b/components/planner/tests/fleet_size.rs
@@ -1,12 +1,12 @@
-//! How many engines of which kind each zone shall have.
+//! The number of dedicated and preemptible engines in each zone.
 
-use garnet_planner::{FleetTerms, ZoneFleet, wanted_fleet};
+use garnet_planner::{FleetConstraints, ZoneFleet, target_fleet};
 use proptest::prelude::*;
 use rstest::rstest;
 
-const TERMS: FleetTerms = FleetTerms {
-    least_in_zone: 1,
-    most_in_zone: 94,
+const TERMS: FleetConstraints = FleetConstraints {
+    min_per_zone: 1,
+    max_per_zone: 94,
     preemptible_price: Some(0.2),
 };
 
@@ -18,169 +18,177 @@
 }
 
 #[rstest]
-#[case::none_are_offered(FleetTerms { preemptible_price: None, ..TERMS }, 30, 3)]
-#[case::too_dear_with_the_reserve(FleetTerms { preemptible_price: Some(0.34), ..TERMS }, 30, 3)]
+#[case::no_preemptible_engines_are_offered(FleetConstraints { preemptible_price: None, ..TERMS }, 30, 3)]
+#[case::the_reserve_is_too_expensive(FleetConstraints { preemptible_price: Some(0.34), ..TERMS }, 30, 3)]
 #[case::one_zone(TERMS, 30, 1)]
-#[case::no_room_for_the_reserve(FleetTerms { most_in_zone: 14, ..TERMS }, 30, 3)]
+#[case::no_room_for_the_reserve(FleetConstraints { max_per_zone: 14, ..TERMS }, 30, 3)]
 #[case::nothing_is_needed(TERMS, 0, 3)]
-fn the_fleet_stays_as_it_is(#[case] terms: FleetTerms, #[case] needed: u32, #[case] zones: usize) {
+fn the_fleet_stays_as_it_is(
+    #[case] terms: FleetConstraints,
+    #[case] needed: u32,
+    #[case] zones: usize,
+) {
     assert_eq!(
-        wanted_fleet(needed, &terms, &vec![zone(10, 0); zones]),
+        target_fleet(needed, &terms, &vec![zone(10, 0); zones]),
         None
     );
 }
 
-/// The cheaper, the more zones the reserve bears the loss of.
+/// The cheaper preemptible engines are, the more lost zones the reserve covers.
 #[rstest]
 #[case::two_of_three(0.15, 94, 3, 30)]
 #[case::one_of_three(0.2, 94, 3, 15)]
-#[case::two_as_far_as_there_is_room(0.15, 20, 3, 20)]
+#[case::two_limited_by_the_zone_maximum(0.15, 20, 3, 20)]
 #[case::three_of_four(0.12, 94, 4, 30)]
 #[case::two_of_four(0.2, 94, 4, 15)]
 #[case::one_of_two(0.2, 94, 2, 30)]
-fn the_reserve_is_as_large_as_is_worth_its_price(
+fn the_reserve_is_as_large_as_its_price_allows(
     #[case] price: f64,
-    #[case] most: u32,
+    #[case] zone_maximum: u32,
     #[case] zones: usize,
-    #[case] in_zone: u32,
+    #[case] per_zone: u32,
 ) {
-    let terms = FleetTerms {
+    let terms = FleetConstraints {
         preemptible_price: Some(price),
-        most_in_zone: most,
+        max_per_zone: zone_maximum,
         ..TERMS
     };
-    let wanted = wanted_fleet(30, &terms, &vec![zone(0, 0); zones]).expect("a plan");
+    let target = target_fleet(30, &terms, &vec![zone(0, 0); zones]).expect("a plan");
     assert!(
-        wanted.iter().all(|wanted| wanted.preemptible == in_zone),
-        "{wanted:?}"
+        target.iter().all(|target| target.preemptible == per_zone),
+        "{target:?}"
     );
 }
 
-/// Dedicated engines go one for one as others serve.
+/// Dedicated engines are released one for one as preemptible ones start serving.
 #[rstest]
 #[case::none_serves([0, 0, 0], [10, 10, 10])]
 #[case::few_serve([0, 3, 0], [9, 9, 9])]
 #[case::most_serve([9, 10, 10], [1, 1, 1])]
 #[case::all_serve([10, 10, 10], [0, 0, 0])]
-fn dedicated_engines_go_as_others_serve(#[case] serving: [u32; 3], #[case] kept: [u32; 3]) {
+fn dedicated_engines_are_released_as_preemptible_ones_serve(
+    #[case] serving: [u32; 3],
+    #[case] remaining: [u32; 3],
+) {
     let present = serving.map(|preemptible| zone(10, preemptible));
-    let wanted = wanted_fleet(30, &TERMS, &present).expect("a plan");
-    let dedicated: Vec<u32> = wanted.iter().map(|zone| zone.dedicated).collect();
-    assert_eq!(dedicated, kept);
-    assert!(wanted.iter().all(|wanted| wanted.preemptible == 15));
+    let target = target_fleet(30, &TERMS, &present).expect("a plan");
+    let dedicated: Vec<u32> = target.iter().map(|zone| zone.dedicated).collect();
+    assert_eq!(dedicated, remaining);
+    assert!(target.iter().all(|target| target.preemptible == 15));
 }
 
-/// Where a zone has no room for both kinds, one makes room for the other.
+/// In a zone that is too small for both kinds, dedicated engines are replaced step by step.
 #[test]
 fn a_full_zone_changes_step_by_step() {
-    let terms = FleetTerms {
-        most_in_zone: 15,
+    let terms = FleetConstraints {
+        max_per_zone: 15,
         ..TERMS
     };
     let mut fleet = vec![zone(10, 0); 3];
     for _ in 0..20 {
-        let wanted = wanted_fleet(30, &terms, &fleet).expect("a plan");
-        let all: u32 = wanted.iter().map(ZoneFleet::all).sum();
+        let target = target_fleet(30, &terms, &fleet).expect("a plan");
+        let all: u32 = target.iter().map(ZoneFleet::total).sum();
         assert!(all >= 30, "{all} engines are left");
-        // New engines come before others go.
-        let came: Vec<ZoneFleet> = fleet
+        // New engines start serving before others are released.
+        let grown: Vec<ZoneFleet> = fleet
             .iter()
-            .zip(&wanted)
-            .map(|(now, wanted)| zone(now.dedicated, wanted.preemptible))
+            .zip(&target)
+            .map(|(now, target)| zone(now.dedicated, target.preemptible))
             .collect();
-        assert!(came.iter().all(|zone| zone.all() <= 15), "{came:?}");
-        fleet = wanted_fleet(30, &terms, &came).expect("a plan");
+        assert!(grown.iter().all(|zone| zone.total() <= 15), "{grown:?}");
+        fleet = target_fleet(30, &terms, &grown).expect("a plan");
     }
     assert_eq!(fleet, vec![zone(0, 15); 3]);
 }
 
-/// Both kinds together keep to the limit of a zone while one replaces the
-/// other.
+/// The limit of a zone holds for both kinds together while one replaces the other.
 #[test]
 fn the_limit_of_a_zone_holds_for_both_kinds() {
-    let wanted = wanted_fleet(140, &TERMS, &[zone(47, 0), zone(47, 0), zone(46, 0)]);
-    let wanted = wanted.expect("a plan");
-    assert_eq!(wanted, [zone(47, 47), zone(47, 47), zone(46, 48)]);
-    let wanted = wanted_fleet(140, &TERMS, &[zone(0, 47), zone(0, 47), zone(0, 48)]);
-    assert_eq!(wanted, Some(vec![zone(0, 94); 3]));
+    let target = target_fleet(140, &TERMS, &[zone(47, 0), zone(47, 0), zone(46, 0)]);
+    let target = target.expect("a plan");
+    assert_eq!(target, [zone(47, 47), zone(47, 47), zone(46, 48)]);
+    let target = target_fleet(140, &TERMS, &[zone(0, 47), zone(0, 47), zone(0, 48)]);
+    assert_eq!(target, Some(vec![zone(0, 94); 3]));
 }
 
-/// After a zone was lost the rest stays as it is, and the zone is filled again.
+/// After the loss of a zone the other zones keep their engines, and the lost ones are bought
+/// again.
 #[test]
-fn a_zone_that_was_taken_away_is_filled_again() {
-    let wanted = wanted_fleet(30, &TERMS, &[zone(0, 0), zone(0, 15), zone(0, 15)]);
-    assert_eq!(wanted, Some(vec![zone(0, 15); 3]));
+fn a_revoked_zone_is_filled_again() {
+    let target = target_fleet(30, &TERMS, &[zone(0, 0), zone(0, 15), zone(0, 15)]);
+    assert_eq!(target, Some(vec![zone(0, 15); 3]));
 }
 
-/// More was lost than the reserve bears: dedicated engines fill the gap, and go
-/// when the others are back.
+/// If more engines are lost than the reserve covers, dedicated engines fill the gap and are
+/// released when the preemptible ones are back.
 #[test]
 fn dedicated_engines_are_bought_for_what_is_missing() {
     let lost = [zone(0, 0), zone(0, 0), zone(0, 15)];
-    let wanted = wanted_fleet(30, &TERMS, &lost).expect("a plan");
-    assert_eq!(wanted, vec![zone(5, 15); 3]);
-    let bridged = [zone(5, 0), zone(5, 0), zone(5, 15)];
-    let wanted = wanted_fleet(30, &TERMS, &bridged).expect("a plan");
-    assert_eq!(wanted, vec![zone(5, 15); 3]);
-    let coming_back = [zone(5, 5), zone(5, 0), zone(5, 15)];
-    let wanted = wanted_fleet(30, &TERMS, &coming_back).expect("a plan");
-    assert_eq!(wanted, vec![zone(4, 15); 3]);
-    let back = [zone(5, 15), zone(5, 0), zone(5, 15)];
-    let wanted = wanted_fleet(30, &TERMS, &back).expect("a plan");
-    assert_eq!(wanted, vec![zone(0, 15); 3]);
+    let target = target_fleet(30, &TERMS, &lost).expect("a plan");
+    assert_eq!(target, vec![zone(5, 15); 3]);
+    let gap_filled = [zone(5, 0), zone(5, 0), zone(5, 15)];
+    let target = target_fleet(30, &TERMS, &gap_filled).expect("a plan");
+    assert_eq!(target, vec![zone(5, 15); 3]);
+    let returning = [zone(5, 5), zone(5, 0), zone(5, 15)];
+    let target = target_fleet(30, &TERMS, &returning).expect("a plan");
+    assert_eq!(target, vec![zone(4, 15); 3]);
+    let returned = [zone(5, 15), zone(5, 0), zone(5, 15)];
+    let target = target_fleet(30, &TERMS, &returned).expect("a plan");
+    assert_eq!(target, vec![zone(0, 15); 3]);
 }
 
-/// Thousands of engines come and go by steps, so that all hear of them in time.
+/// Thousands of engines are bought and released in steps, so that all gateways receive the
+/// updates in time.
 #[test]
 fn a_large_fleet_changes_by_steps() {
-    let terms = FleetTerms {
-        most_in_zone: 2000,
+    let terms = FleetConstraints {
+        max_per_zone: 2000,
         ..TERMS
     };
     let mut fleet = vec![zone(1000, 0); 3];
     for _ in 0..60 {
-        let wanted = wanted_fleet(3000, &terms, &fleet).expect("a plan");
-        for (now, wanted) in fleet.iter().zip(&wanted) {
-            assert!(now.dedicated.abs_diff(wanted.dedicated) <= 100);
-            assert!(now.preemptible.abs_diff(wanted.preemptible) <= 100);
+        let target = target_fleet(3000, &terms, &fleet).expect("a plan");
+        for (now, target) in fleet.iter().zip(&target) {
+            assert!(now.dedicated.abs_diff(target.dedicated) <= 100);
+            assert!(now.preemptible.abs_diff(target.preemptible) <= 100);
         }
-        fleet = wanted;
+        fleet = target;
     }
     assert_eq!(fleet, vec![zone(0, 2000); 3]);
 }
 
 proptest! {
-    /// Whatever is there: a plan bears the loss of any zone, keeps to the
-    /// limits, and costs half of what is needed in dedicated engines at most.
+    /// From any present fleet, a plan survives the loss of any zone, respects the limits, and
+    /// costs at most half as much as the needed dedicated engines.
     #[test]
-    fn a_plan_bears_the_loss_of_a_zone(
+    fn a_plan_survives_the_loss_of_a_zone(
         needed in 1_u32..300,
         price in 0.05_f64..1.0,
-        most in 1_u32..200,
+        zone_maximum in 1_u32..200,
         zones in proptest::collection::vec((0_u32..100, 0_u32..100), 1..6),
     ) {
-        let terms = FleetTerms {
-            least_in_zone: 1.min(most),
-            most_in_zone: most,
+        let terms = FleetConstraints {
+            min_per_zone: 1.min(zone_maximum),
+            max_per_zone: zone_maximum,
             preemptible_price: Some(price),
         };
         let present: Vec<_> = zones.iter().map(|(d, p)| zone(*d, *p)).collect();
-        if let Some(wanted) = wanted_fleet(needed, &terms, &present) {
+        if let Some(target) = target_fleet(needed, &terms, &present) {
             let serving: u32 = present.iter().map(|zone| zone.preemptible).sum();
-            for (wanted, present) in wanted.iter().zip(&present) {
-                let is_full = present.all() >= most;
-                prop_assert!(is_full || wanted.dedicated + present.preemptible <= most);
-                prop_assert!(present.dedicated > most || wanted.preemptible + present.dedicated <= most);
+            for (target, present) in target.iter().zip(&present) {
+                let is_full = present.total() >= zone_maximum;
+                prop_assert!(is_full || target.dedicated + present.preemptible <= zone_maximum);
+                prop_assert!(present.dedicated > zone_maximum || target.preemptible + present.dedicated <= zone_maximum);
                 if serving >= needed {
-                    prop_assert_eq!(wanted.dedicated, 0);
+                    prop_assert_eq!(target.dedicated, 0);
                 }
             }
-            let dedicated: u32 = wanted.iter().map(|zone| zone.dedicated).sum();
+            let dedicated: u32 = target.iter().map(|zone| zone.dedicated).sum();
             let had: u32 = present.iter().map(|zone| zone.dedicated).sum();
             prop_assert!(serving + dedicated >= needed.min(serving + had), "a step leaves too few");
             let mut all = vec![ZoneFleet::default(); present.len()];
             for _ in 0..4 {
-                all = wanted_fleet(needed, &terms, &all).expect("it does not hang on what is there");
+                all = target_fleet(needed, &terms, &all).expect("it does not hang on what is there");
                 all.iter_mut().for_each(|zone| zone.dedicated = 0);
             }
             let total: u32 = all.iter().map(|zone| zone.preemptible).sum();
--- a/components/planner/tests/planner.rs
+++ b/components/planner/tests/planner.rs
@@ -1,4 +1,4 @@
-//! When the planner changes a role, and when it leaves the fleet alone.
+//! When the planner changes a role, and when it changes nothing.
 
 use garnet_planner::{Engine, Mix, Planner, PlannerSettings, PoolCapacity, RoleChange, Split};
 use garnet_types::{BackendId, EngineRole, Millis};
@@ -12,7 +12,7 @@
     mixed_efficiency: 0.6,
 };
 
-/// Long prompts, short answers: three engines are needed to read.
+/// Long prompts, short answers: three prefill engines are needed.
 const PROMPT_HEAVY: Mix = Mix {
     requests: 10.0,
     prompt_bound: 8.0,
@@ -59,8 +59,8 @@
 }
 
 #[rstest]
-#[case::more_to_read(PROMPT_HEAVY, &[Prefill, Decode, Decode, Decode, Decode], Some(Prefill))]
-#[case::more_to_generate(OUTPUT_HEAVY, &[Prefill, Prefill, Prefill, Decode, Decode], Some(Decode))]
+#[case::more_to_prefill(PROMPT_HEAVY, &[Prefill, Decode, Decode, Decode, Decode], Some(Prefill))]
+#[case::more_to_decode(OUTPUT_HEAVY, &[Prefill, Prefill, Prefill, Decode, Decode], Some(Decode))]
 #[case::fits_already(OUTPUT_HEAVY, &[Prefill, Decode, Decode, Decode, Decode], None)]
 fn the_split_follows_a_lasting_mix(
     #[case] mix: Mix,
@@ -84,14 +84,14 @@
 #[case(&[Prefill, Decode])]
 #[case(&[Prefill])]
 #[case(&[])]
-fn never_the_last_engine_of_a_role(#[case] roles: &[EngineRole]) {
+fn the_last_engine_of_a_role_stays(#[case] roles: &[EngineRole]) {
     let mut planner = Planner::new(settings(0.0));
     let change = decide_after(&mut planner, PROMPT_HEAVY, &engines(roles), 0, 120);
     assert_eq!(change, None);
 }
 
 #[test]
-fn nothing_changes_while_an_engine_is_out() {
+fn nothing_changes_while_an_engine_is_out_of_service() {
     let mut planner = Planner::new(settings(5.0));
     let mut fleet = engines(&[Prefill, Decode, Decode, Decode, Decode]);
     fleet[4].serving = false;
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn without_fresh_figures_nothing_changes() {
+fn without_recent_load_figures_nothing_changes() {
     let mut planner = Planner::new(settings(5.0));
     let fleet = engines(&[Prefill, Decode, Decode, Decode, Decode]);
     assert_eq!(planner.decide(&fleet, &CAPACITY, Millis(0)), None);
@@ -113,23 +113,23 @@
     assert_eq!(planner.decide(&fleet, &CAPACITY, later), None);
 }
 
-/// A swing that turns back at once moves a planner with a low price, and not
-/// one for which changes are dear.
+/// A short swing of the load changes a role if the price of a change is low, but not if it is
+/// high.
 #[test]
-fn a_short_swing_is_not_followed_where_changes_are_dear() {
+fn a_short_swing_changes_nothing_if_the_price_is_high() {
     let fleet = engines(&[Prefill, Decode, Decode, Decode, Decode]);
     let mut cheap = Planner::new(settings(2.0));
-    let mut dear = Planner::new(settings(400.0));
-    for planner in [&mut cheap, &mut dear] {
+    let mut expensive = Planner::new(settings(400.0));
+    for planner in [&mut cheap, &mut expensive] {
         decide_after(planner, OUTPUT_HEAVY, &fleet, 0, 120);
     }
     let swing = |planner: &mut Planner| decide_after(planner, PROMPT_HEAVY, &fleet, 120, 128);
     assert!(swing(&mut cheap).is_some());
-    assert_eq!(swing(&mut dear), None);
+    assert_eq!(swing(&mut expensive), None);
 }
 
-/// The only engine of a phase is lost: another takes its role at once, without
-/// waiting for averages, prices or the engine's return.
+/// If the only engine of a phase is lost, another engine takes its role at once, regardless of
+/// averages and price and without waiting for the lost engine.
 #[test]
 fn a_phase_without_an_engine_is_restored_at_once() {
     let mut planner = Planner::new(settings(400.0));
@@ -147,9 +147,9 @@
     assert_eq!(again, None, "the first change is under way");
 }
 
-/// The lost engine is back, with the role that it starts with.
+/// The lost engine has returned with its initial role, so that all engines have the same one.
 #[test]
-fn a_pool_with_one_phase_only_gets_the_other() {
+fn a_pool_without_a_phase_gets_it() {
     let mut planner = Planner::new(settings(400.0));
     let fleet = engines(&[Decode, Decode, Decode]);
     planner.observe(OUTPUT_HEAVY, Millis(0));
@@ -167,7 +167,7 @@
 }
 
 #[test]
-fn two_changes_keep_a_minimum_distance() {
+fn two_changes_keep_the_minimum_interval() {
     let mut planner = Planner::new(settings(2.0));
     let fleet = engines(&[Prefill, Decode, Decode, Decode, Decode]);
     assert!(decide_after(&mut planner, PROMPT_HEAVY, &fleet, 0, 60).is_some());
--- a/components/planner/tests/zone_spread.rs
+++ b/components/planner/tests/zone_spread.rs
@@ -1,10 +1,10 @@
-//! Choosing the engines that change their role.
+//! Selecting the engines that change their role.
 //!
-//! A leader of ten thousand engines compared all of them with one another for
-//! each engine that it chose. It chose hundreds in one step, stood still for
-//! seconds and lost its lease by that; the next leader did the same, and no
-//! change of the configuration was accepted meanwhile. Three replicas in turn
-//! used four times the processor time of the other seven.
+//! Guards against a selection in quadratic time. A leader of ten thousand engines compared all
+//! of them for each engine that it selected. Selecting hundreds in one step blocked it for
+//! seconds, so that it lost its lease. The next leader did the same, and no configuration change
+//! was accepted meanwhile. Three replicas in turn used four times the CPU time of the other
+//! seven.
 
 use std::cell::Cell;
 
@@ -20,21 +20,20 @@
     ZONES[engine % ZONES.len()]
 }
 
-/// How often the zone of an engine is looked up while a quarter of them is
-/// chosen.
+/// Number of zone look-ups while a quarter of the engines is selected.
 fn lookups(count: usize) -> usize {
     let looked_up = Cell::new(0);
     let counting = |engine: &usize| {
         looked_up.set(looked_up.get() + 1);
         zone_of(engine)
     };
-    let taken = take_from_fullest_zones(engines(count), count / 4, counting);
-    assert_eq!(taken.len(), count / 4);
+    let selected = take_from_fullest_zones(engines(count), count / 4, counting);
+    assert_eq!(selected.len(), count / 4);
     looked_up.get()
 }
 
 #[test]
-fn choosing_a_part_of_twice_as_many_engines_is_twice_the_work() {
+fn selecting_from_twice_as_many_engines_is_twice_the_work() {
     let small = lookups(200);
     let large = lookups(400);
     assert!(
@@ -44,23 +43,23 @@
 }
 
 #[test]
-fn the_fullest_zone_gives_first() {
+fn the_fullest_zone_is_selected_first() {
     // Zone a has three engines, b has two.
     let candidates = vec![("a", 1), ("b", 2), ("a", 3), ("b", 4), ("a", 5)];
-    let taken = take_from_fullest_zones(candidates, 2, |(zone, _)| zone);
-    assert_eq!(taken, [("a", 5), ("b", 4)]);
+    let selected = take_from_fullest_zones(candidates, 2, |(zone, _)| zone);
+    assert_eq!(selected, [("a", 5), ("b", 4)]);
 }
 
 #[test]
 fn each_zone_keeps_one() {
-    let taken = take_from_fullest_zones(engines(10), 10, zone_of);
-    assert_eq!(taken.len(), 5);
-    let mut zones: Vec<&str> = taken.iter().map(zone_of).collect();
+    let selected = take_from_fullest_zones(engines(10), 10, zone_of);
+    assert_eq!(selected.len(), 5);
+    let mut zones: Vec<&str> = selected.iter().map(zone_of).collect();
     zones.sort_unstable();
     assert_eq!(zones, ZONES);
 }
 
 #[test]
-fn nobody_is_chosen_of_none() {
+fn no_candidates_give_no_selection() {
     assert!(take_from_fullest_zones(Vec::new(), 3, zone_of).is_empty());
 }
--- a/components/simulator/src/mix/steering.rs
+++ b/components/simulator/src/mix/steering.rs
@@ -6,7 +6,7 @@
 
 use garnet_control::{BackendRecord, Command, Configuration};
 use garnet_planner::{
-    Mix, PoolCapacity, Split, Utilisation, can_give, predicted_loss, utilisation,
+    Mix, PoolCapacity, Split, Utilisation, can_release_engine, predicted_loss, utilisation,
 };
 use garnet_types::{BackendId, EngineAssignment, EngineRole, Millis};
 
@@ -144,7 +144,7 @@
             .filter_map(|step| {
                 let next = split.after(step.0, step.1)?;
                 let mix = self.demand.mix(&self.deployment, now + FORESIGHT_CHANGE);
-                if !can_give(step.0, &next, &mix, &self.capacity()) {
+                if !can_release_engine(step.0, &next, &mix, &self.capacity()) {
                     return None;
                 }
                 let gain = self.gain(split, &next, step.0, now);
