--- a/components/policy/src/compile.rs
+++ b/components/policy/src/compile.rs
@@ -1,4 +1,4 @@
-//! From a policy document to compiled rules, with all findings together.
+//! Compiles a policy document into rules and reports all its mistakes together.
 
 use std::sync::Arc;
 
@@ -10,13 +10,13 @@
 use crate::evaluate::{ConditionResult, run_condition};
 use crate::facts::{RequestFacts, VARIABLES};
 
-/// Largest document, in bytes.
+/// Maximum size of a policy document in bytes.
 pub const MAX_DOCUMENT_BYTES: usize = 64 * 1024;
-/// Most rules in one document.
+/// Maximum number of rules in a document.
 pub const MAX_RULES: usize = 100;
-/// Longest condition, in bytes.
+/// Maximum length of a condition in bytes.
 const MAX_CONDITION_BYTES: usize = 1024;
-/// Longest deadline a policy may give: one hour.
+/// Maximum deadline that a policy may set: one hour.
 const MAX_DEADLINE_MS: u64 = 3_600_000;
 const MAX_TENANT_RATE: f64 = 10_000_000.0;
 const MAX_ROLE_CHANGE_PRICE: f64 = 1_000_000.0;
@@ -27,10 +27,10 @@
     ("deferrable", Class::Deferrable),
 ];
 
-/// How the planner weighs goodput against role changes.
+/// How the role planner weighs goodput against role changes.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PlannerWeights {
-    /// Useful answers that one role change must gain to be worth it.
+    /// Useful answers that a role change must gain to be made.
     pub role_change_price: f64,
 }
 
@@ -44,15 +44,15 @@
 pub struct Policy {
     pub(crate) rules: Vec<Rule>,
     pub(crate) environment: Arc<Env>,
-    /// The weights it states, if any.
+    /// Planner weights, if the document sets them.
     pub planner: Option<PlannerWeights>,
 }
 
 impl Policy {
-    /// Checks and compiles a document; `file` names it in findings.
+    /// Checks and compiles a document. `file` is the name of the document in findings.
     ///
     /// # Errors
-    /// Every mistake of the document, each with its line and key.
+    /// Returns all mistakes of the document, each with its line and key.
     pub fn compile(file: &str, document: &str) -> Result<Policy, Findings> {
         let environment = Arc::new(Env::stdlib());
         Document::read(file, document, |table| {
@@ -125,8 +125,8 @@
             return None;
         }
     };
-    let names_known = check_variables(table, &program);
-    (names_known && check_result(table, &program, environment)).then_some(program)
+    let all_variables_known = check_variables(table, &program);
+    (all_variables_known && check_result(table, &program, environment)).then_some(program)
 }
 
 fn check_variables(table: &TableReader<'_>, program: &Program) -> bool {
@@ -139,7 +139,7 @@
     unknown.sort_unstable();
     for name in &unknown {
         let hint = match nearest(name, &VARIABLES) {
-            Some(near) => format!("did you mean \"{near}\"?"),
+            Some(suggestion) => format!("did you mean \"{suggestion}\"?"),
             None => format!("known are {}", VARIABLES.join(", ")),
         };
         table.report("when", format!("unknown variable \"{name}\"; {hint}"));
@@ -147,8 +147,8 @@
     unknown.is_empty()
 }
 
-/// Runs the condition once on an empty request: a condition of another type
-/// than true or false, or one that can't run at all, is found here.
+/// Evaluates the condition once on an empty request, to find conditions that don't return a
+/// boolean or can't be evaluated at all.
 fn check_result(table: &TableReader<'_>, program: &Program, environment: &Arc<Env>) -> bool {
     match run_condition(program, environment, &RequestFacts::default()) {
         ConditionResult::Matches(_) => true,
--- a/components/policy/src/evaluate.rs
+++ b/components/policy/src/evaluate.rs
@@ -1,4 +1,4 @@
-//! From the facts of a request to its verdict.
+//! Evaluates policies on the facts of a request.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -9,48 +9,48 @@
 use crate::compile::{PlannerWeights, Policy};
 use crate::facts::RequestFacts;
 
-/// The verdict on one request.
+/// The result of evaluating the policies on one request.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Evaluation {
-    /// How it is to be treated.
+    /// How the request is handled.
     pub verdict: Verdict,
-    /// Name of the policy that matched.
-    pub matched: Option<String>,
-    /// Conditions that failed while they ran.
+    /// Name of the policy whose rule matched; `None` if no rule did.
+    pub matched_policy: Option<String>,
+    /// Number of conditions whose evaluation failed.
     pub failures: u64,
 }
 
-/// All policies in force, by name. The first rule that matches, in the order
-/// of the policies' names and of the rules in each, gives the verdict.
+/// All active policies. The first matching rule determines the verdict; policies are evaluated
+/// in the order of their names, and rules in the order of the document.
 #[derive(Default)]
 pub struct PolicySet {
     policies: BTreeMap<String, Policy>,
 }
 
 impl PolicySet {
-    /// Puts a policy in the place of any with the same name.
+    /// Adds a policy, replacing any policy of the same name.
     pub fn put(&mut self, name: &str, policy: Policy) {
         self.policies.insert(name.to_owned(), policy);
     }
 
-    /// Takes a policy out.
+    /// Removes a policy.
     pub fn withdraw(&mut self, name: &str) {
         self.policies.remove(name);
     }
 
-    /// Takes every policy out.
+    /// Removes all policies.
     pub fn clear(&mut self) {
         self.policies.clear();
     }
 
-    /// Weights of the first policy that states any.
+    /// Planner weights of the first policy that sets them.
     pub fn planner_weights(&self) -> Option<&PlannerWeights> {
         self.policies
             .values()
             .find_map(|policy| policy.planner.as_ref())
     }
 
-    /// The verdict on a request; the safe default when nothing matches.
+    /// Evaluates the policies on a request. If no rule matches, the verdict is the safe default.
     pub fn evaluate(&self, facts: &RequestFacts) -> Evaluation {
         let mut failures = 0;
         for (name, policy) in &self.policies {
@@ -59,7 +59,7 @@
                     ConditionResult::Matches(true) => {
                         return Evaluation {
                             verdict: rule.verdict.clone(),
-                            matched: Some(name.clone()),
+                            matched_policy: Some(name.clone()),
                             failures,
                         };
                     }
@@ -70,7 +70,7 @@
         }
         Evaluation {
             verdict: Verdict::default(),
-            matched: None,
+            matched_policy: None,
             failures,
         }
     }
@@ -101,7 +101,7 @@
     context.add_variable_from_value("max_tokens", facts.max_tokens as i64);
     match condition.execute(&context) {
         Ok(Value::Bool(matches)) => ConditionResult::Matches(matches),
-        Ok(_) => ConditionResult::Failed("the condition is neither true nor false".into()),
+        Ok(_) => ConditionResult::Failed("the condition must return true or false".into()),
         Err(error) => ConditionResult::Failed(format!("the condition fails: {error}")),
     }
 }
--- a/components/policy/src/facts.rs
+++ b/components/policy/src/facts.rs
@@ -1,25 +1,25 @@
-//! What a condition can ask about a request.
+//! The request attributes that conditions can use.
 
-/// Facts of one request; each field is a variable of the conditions.
+/// Facts about one request. Each field is a variable in conditions.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct RequestFacts {
-    /// Service that the request is for.
+    /// Service that the request is sent to.
     pub service: String,
-    /// Tenant that sent it.
+    /// Tenant that sent the request.
     pub tenant: String,
-    /// Session it belongs to; empty when it names none.
+    /// Session of the request; empty if it has none.
     pub session: String,
-    /// Model it asks for; empty for an application call.
+    /// Requested model; empty for an application call.
     pub model: String,
-    /// Path below the service, or the path of the completion call.
+    /// Path relative to the service, or the path of the completion call.
     pub path: String,
-    /// Estimated tokens of its prompt.
+    /// Estimated number of prompt tokens.
     pub prompt_tokens: u64,
-    /// Most tokens it wants generated.
+    /// Maximum number of tokens to generate.
     pub max_tokens: u64,
 }
 
-/// Names of the variables, for checking a condition.
+/// Names of the variables that a condition may use.
 pub(crate) const VARIABLES: [&str; 7] = [
     "service",
     "tenant",
--- a/components/policy/src/lib.rs
+++ b/components/policy/src/lib.rs
@@ -1,10 +1,9 @@
-//! Policies: what operators say about how work is treated.
+//! Policies: rules by which operators classify requests.
 //!
-//! Contract: a document is checked as a whole when it is accepted
-//! ([`Policy::compile`]); evaluation ([`PolicySet::evaluate`]) always gives a
-//! verdict. A condition that fails while it runs counts as not matching and is
-//! reported to the caller for a counter. Conditions are CEL expressions, which
-//! are bounded: no loops, no state, no I/O.
+//! A document is checked completely when it is accepted ([`Policy::compile`]), so evaluation
+//! ([`PolicySet::evaluate`]) always returns a verdict. A condition whose evaluation fails counts
+//! as not matching, and the caller gets the number of failures for a metric. Conditions are CEL
+//! expressions, which are bounded: they have no loops, no state and no I/O.
 
 mod compile;
 mod evaluate;
--- a/components/policy/tests/checking.rs
+++ b/components/policy/tests/checking.rs
@@ -1,4 +1,4 @@
-//! A policy is checked as a whole when it is accepted.
+//! Checks of policy documents, and the order in which rules match.
 
 use garnet_policy::{Policy, PolicySet, RequestFacts};
 use garnet_types::{Class, Millis, Verdict};
@@ -26,12 +26,12 @@
 "#;
 
 #[test]
-fn ten_mistakes_are_ten_findings_with_their_places() {
+fn each_mistake_is_a_finding_with_line_and_key() {
     let findings = Policy::compile("p.toml", TEN_MISTAKES)
         .err()
         .expect("findings")
         .0;
-    let places: Vec<(usize, &str)> = findings
+    let positions: Vec<(usize, &str)> = findings
         .iter()
         .map(|finding| (finding.line, finding.key.as_str()))
         .collect();
@@ -48,7 +48,10 @@
         (16, "rule[3].deadlin_ms"),
         (19, "planner.role_change_price"),
     ] {
-        assert!(places.contains(&expected), "{expected:?} in {places:?}");
+        assert!(
+            positions.contains(&expected),
+            "{expected:?} in {positions:?}"
+        );
     }
     let text = findings.iter().map(ToString::to_string).collect::<Vec<_>>();
     assert!(
@@ -65,9 +68,9 @@
 #[case::empty("", "at least one [[rule]]")]
 #[case::not_toml("[[rule", "")]
 #[case::unknown_function("[[rule]]\nwhen = 'frob(service)'\nclass = 'urgent'", "fails")]
-fn bad_documents_are_refused(#[case] document: &str, #[case] part: &str) {
+fn invalid_documents_are_refused(#[case] document: &str, #[case] expected_text: &str) {
     let findings = Policy::compile("p.toml", document).err().expect("findings");
-    assert!(findings.to_string().contains(part), "{findings}");
+    assert!(findings.to_string().contains(expected_text), "{findings}");
 }
 
 fn facts(service: &str, path: &str) -> RequestFacts {
@@ -79,7 +82,7 @@
 }
 
 #[test]
-fn the_first_rule_that_matches_decides() {
+fn the_first_matching_rule_determines_the_verdict() {
     let mut set = PolicySet::default();
     let document = r#"
 [[rule]]
@@ -91,31 +94,28 @@
 when = 'true'
 class = "deferrable"
 "#;
-    set.put("b", Policy::compile("b", document).expect("sound"));
+    set.put("b", Policy::compile("b", document).expect("valid policy"));
     let basket = set.evaluate(&facts("tillside", "/basket/1")).verdict;
     assert_eq!(basket.class, Class::Urgent);
     assert_eq!(basket.deadline, Millis(700));
     assert!(!basket.repeatable);
     let other = set.evaluate(&facts("tillside", "/receipt/1")).verdict;
     assert_eq!(other.class, Class::Deferrable);
-    assert!(
-        other.may_wait,
-        "deferrable work may wait unless it is said otherwise"
-    );
+    assert!(other.may_wait, "deferrable work may wait by default");
 }
 
 #[test]
-fn a_condition_that_fails_while_it_runs_counts_and_gives_the_safe_verdict() {
+fn a_condition_whose_evaluation_fails_is_counted_and_gives_the_safe_verdict() {
     let mut set = PolicySet::default();
-    // Sound on an empty request, but it divides by zero for two tokens.
+    // Valid on an empty request, but divides by zero for two prompt tokens.
     let document = "[[rule]]\nwhen = '100 / (prompt_tokens - 2) > 0'\nclass = 'urgent'";
-    set.put("p", Policy::compile("p", document).expect("sound"));
+    set.put("p", Policy::compile("p", document).expect("valid policy"));
     let two = RequestFacts {
         prompt_tokens: 2,
         ..RequestFacts::default()
     };
     let evaluation = set.evaluate(&two);
     assert_eq!(evaluation.failures, 1);
-    assert_eq!(evaluation.matched, None);
+    assert_eq!(evaluation.matched_policy, None);
     assert_eq!(evaluation.verdict, Verdict::default());
 }
