--- a/bin/garnet-gateway/src/context.rs
+++ b/bin/garnet-gateway/src/context.rs
@@ -92,7 +92,7 @@
     pub(crate) fn close_caller(&self, request: RequestId) {
         let without_answer = self.open.borrow_mut().callers.remove(&request).is_some();
         if without_answer {
-            self.handle(Event::CallerGone(request));
+            self.handle(Event::CallerDisconnected(request));
         }
     }
 
--- a/components/gateway/src/application.rs
+++ b/components/gateway/src/application.rs
@@ -3,7 +3,7 @@
 use garnet_routing::OwnWork;
 use garnet_types::{BackendId, Millis, OutcomeCode, RecordedResponse, Refusal, RequestId};
 
-use crate::backends::Eligible;
+use crate::backends::BackendRef;
 use crate::call::{Answer, Work};
 use crate::effects::{AttemptEvent, AttemptId, Effect, Job};
 use crate::gateway::Gateway;
@@ -18,9 +18,9 @@
     pub(crate) fn route_application(&mut self, id: RequestId) {
         match self.choose_instance(id) {
             Ok((backend, address)) => self.dispatch_application(id, backend, address),
-            Err(_) if self.wait_for_permit(id, None) => {}
+            Err(_) if self.request_permit(id, None) => {}
             Err(refusal) => {
-                let backoff = self.backoff_of(&self.requests[&id]);
+                let backoff = self.remaining_backoff(&self.requests[&id]);
                 let refusal = backoff.map_or(refusal, |first| self.backoff_refusal(first));
                 // An earlier attempt that broke off may have run it.
                 self.end_without_answer(id, refusal);
@@ -32,10 +32,13 @@
     fn choose_instance(&self, id: RequestId) -> Result<(BackendId, String), Refusal> {
         let request = &self.requests[&id];
         let configuration = &self.watched.configuration;
-        let instances =
-            self.backends
-                .instances(configuration, &request.service, &request.tried, self.now);
-        let instances = self.keep_apart(request, instances);
+        let instances = self.backends.instances(
+            configuration,
+            &request.service,
+            &request.failed_backends,
+            self.now,
+        );
+        let instances = self.restrict_suspected(request, instances);
         if instances.is_empty() {
             let message = "no instance of the service can be reached";
             return Err(Refusal::not_run(
@@ -46,20 +49,25 @@
         }
         let load = |backend: &BackendId| {
             self.backends
-                .known(backend)
-                .map_or(0, |belief| belief.estimate.in_flight())
+                .view_of(backend)
+                .map_or(0, |view| view.estimate.in_flight())
         };
-        let may_take = |one: &Eligible<'_>| {
-            load(one.id) < self.settings.application_concurrency && self.may_send(one.id)
+        let has_capacity = |instance: &BackendRef<'_>| {
+            load(instance.id) < self.settings.application_concurrency && self.may_send(instance.id)
         };
-        let instances = instances.into_iter().filter(may_take).collect();
-        self.due_first(instances, |one| one.id)
+        let instances = instances.into_iter().filter(has_capacity).collect();
+        self.prefer_due(instances, |instance| instance.id)
             .into_iter()
-            .min_by_key(|one| {
-                let far = one.record.registration.zone != self.settings.zone;
-                (load(one.id), far, one.id.clone())
+            .min_by_key(|instance| {
+                let other_zone = instance.record.registration.zone != self.settings.zone;
+                (load(instance.id), other_zone, instance.id.clone())
+            })
+            .map(|instance| {
+                (
+                    instance.id.clone(),
+                    instance.record.registration.address.clone(),
+                )
             })
-            .map(|one| (one.id.clone(), one.record.registration.address.clone()))
             .ok_or_else(|| {
                 let message = "every instance of the service is at its limit";
                 Refusal::not_run(OutcomeCode::Overloaded, BUSY_RETRY_AFTER, message)
@@ -90,11 +98,11 @@
             return;
         };
         request.stage = Stage::Running { attempt };
-        request.note_dispatch(now);
+        request.record_dispatch(now);
         let remaining = request.deadline.since(now);
         let service = request.service.clone();
         let key = request.call.key.as_ref().map(|key| key.0.clone());
-        if request.tried.is_empty() {
+        if request.failed_backends.is_empty() {
             self.earn_retry(&service);
         }
         self.emit(Effect::Dispatch {
@@ -124,18 +132,18 @@
             AttemptEvent::Response(response) => {
                 self.attempts.remove(&attempt);
                 self.backends.succeeded(backend, attempt);
-                self.run_completed(id);
+                self.record_completed_run(id);
                 self.complete_application(id, response);
             }
             AttemptEvent::NotStarted { draining } => {
-                self.end_unstarted(id, attempt, backend, draining);
+                self.end_not_started(id, attempt, backend, draining);
                 self.retry_application(id, true);
             }
             AttemptEvent::Broken => {
-                self.run_crashed(id, backend);
+                self.record_crash(id, backend);
                 self.attempts.remove(&attempt);
                 self.backends.failed(backend, attempt, self.now);
-                self.note_tried(id, backend);
+                self.record_failed_backend(id, backend);
                 self.retry_application(id, false);
             }
             // Engines' answers make no sense here.
@@ -182,7 +190,7 @@
     }
 
     /// Ends an attempt that the back end provably did not begin.
-    pub(crate) fn end_unstarted(
+    pub(crate) fn end_not_started(
         &mut self,
         id: RequestId,
         attempt: AttemptId,
@@ -195,15 +203,15 @@
         } else {
             self.backends.failed(backend, attempt, self.now);
         }
-        self.note_tried(id, backend);
+        self.record_failed_backend(id, backend);
         if let Some(request) = self.requests.get_mut(&id) {
-            request.note_unstarted();
+            request.record_not_started();
         }
     }
 
-    pub(crate) fn note_tried(&mut self, id: RequestId, backend: &BackendId) {
+    pub(crate) fn record_failed_backend(&mut self, id: RequestId, backend: &BackendId) {
         if let Some(request) = self.requests.get_mut(&id) {
-            request.tried.push(backend.clone());
+            request.failed_backends.push(backend.clone());
         }
     }
 }
--- a/components/gateway/src/backends.rs
+++ b/components/gateway/src/backends.rs
@@ -17,11 +17,11 @@
 const DRAINING_PAUSE: Millis = Millis(1500);
 
 /// An engine that has not reported for so long is not given new work.
-pub(crate) const SILENT_ENGINE: Millis = Millis(2000);
+pub(crate) const ENGINE_SILENCE_TIMEOUT: Millis = Millis(2000);
 
 /// Belief about one back end.
 #[derive(Debug, Default)]
-pub(crate) struct Belief {
+pub(crate) struct BackendView {
     pub(crate) estimate: EngineEstimate<AttemptId>,
     pub(crate) breaker: CircuitBreaker,
     avoid_until: Millis,
@@ -37,16 +37,16 @@
     start: u64,
 }
 
-impl Belief {
+impl BackendView {
     /// How long the engine has not answered a question for its load.
-    fn silent_for(&self, now: Millis) -> Millis {
-        let heard = self.reported_at.max(self.first_polled_at);
-        heard.map_or(Millis::ZERO, |at| now.since(at))
+    fn time_since_contact(&self, now: Millis) -> Millis {
+        let last_contact = self.reported_at.max(self.first_polled_at);
+        last_contact.map_or(Millis::ZERO, |at| now.since(at))
     }
 
     /// Follows the start of the back end, as its record and its own reports tell it:
     /// another one has reported nothing.
-    fn follow_start(&mut self, record: &BackendRecord) {
+    fn update_start(&mut self, record: &BackendRecord) {
         let start = self.incarnation.max(record.start());
         if start != self.start {
             self.start = start;
@@ -73,37 +73,37 @@
 /// Beliefs about all back ends of the configuration.
 #[derive(Debug, Default)]
 pub(crate) struct Backends {
-    beliefs: BTreeMap<BackendId, Belief>,
+    views: BTreeMap<BackendId, BackendView>,
     pub(crate) prefixes: PrefixIndex,
 }
 
 /// A back end that may take a request.
 #[derive(Debug, Clone)]
-pub(crate) struct Eligible<'a> {
+pub(crate) struct BackendRef<'a> {
     pub(crate) id: &'a BackendId,
     pub(crate) record: &'a BackendRecord,
     pub(crate) role: EngineRole,
 }
 
 impl Backends {
-    pub(crate) fn belief(&mut self, id: &BackendId) -> &mut Belief {
-        self.beliefs.entry(id.clone()).or_default()
+    pub(crate) fn view_mut(&mut self, id: &BackendId) -> &mut BackendView {
+        self.views.entry(id.clone()).or_default()
     }
 
-    pub(crate) fn known(&self, id: &BackendId) -> Option<&Belief> {
-        self.beliefs.get(id)
+    pub(crate) fn view_of(&self, id: &BackendId) -> Option<&BackendView> {
+        self.views.get(id)
     }
 
     /// Follows the starts of back ends, and forgets those that left the configuration
     /// and have no work here.
-    pub(crate) fn follow(&mut self, configuration: &Configuration) {
+    pub(crate) fn update(&mut self, configuration: &Configuration) {
         let prefixes = &mut self.prefixes;
-        self.beliefs.retain(|id, belief| {
+        self.views.retain(|id, view| {
             let record = configuration.backends.get(id);
             if let Some(record) = record {
-                belief.follow_start(record);
+                view.update_start(record);
             }
-            let keep = record.is_some() || belief.estimate.in_flight() > 0;
+            let keep = record.is_some() || view.estimate.in_flight() > 0;
             if !keep {
                 prefixes.forget(id);
             }
@@ -112,65 +112,65 @@
     }
 
     pub(crate) fn observe(&mut self, id: &BackendId, report: &LoadReport, now: Millis) {
-        let belief = self.belief(id);
-        belief.estimate.observe(report, now);
-        belief.reported_at = Some(now);
-        belief.incarnation = report.incarnation;
+        let view = self.view_mut(id);
+        view.estimate.observe(report, now);
+        view.reported_at = Some(now);
+        view.incarnation = report.incarnation;
         self.prefixes
             .observe(id, report.incarnation, &report.cache_events);
     }
 
     pub(crate) fn sent(&mut self, id: &BackendId, attempt: AttemptId, work: OwnWork) {
-        let belief = self.belief(id);
-        if let Some(probe) = belief.availability.sent(work.sent_at) {
-            belief.probes.insert(attempt, probe);
+        let view = self.view_mut(id);
+        if let Some(probe) = view.availability.sent(work.sent_at) {
+            view.probes.insert(attempt, probe);
         }
-        belief.estimate.sent(attempt, work);
-        belief.breaker.sent();
+        view.estimate.sent(attempt, work);
+        view.breaker.sent();
     }
 
     /// Follows the start of a back end.
-    pub(crate) fn follow_start(&mut self, record: &BackendRecord) {
-        self.belief(&record.registration.id).follow_start(record);
+    pub(crate) fn update_start(&mut self, record: &BackendRecord) {
+        self.view_mut(&record.registration.id).update_start(record);
     }
 
     /// What a back end reports goes here.
     pub(crate) fn availability_of(&mut self, record: &BackendRecord) -> &mut Availability {
-        let belief = self.belief(&record.registration.id);
-        belief.follow_start(record);
-        &mut belief.availability
+        let view = self.view_mut(&record.registration.id);
+        view.update_start(record);
+        &mut view.availability
     }
 
     /// Notes that a back end took an attempt.
     pub(crate) fn accepted(&mut self, id: &BackendId, attempt: AttemptId) {
-        self.belief(id).accepted(attempt);
+        self.view_mut(id).accepted(attempt);
     }
 
     pub(crate) fn succeeded(&mut self, id: &BackendId, attempt: AttemptId) {
-        let belief = self.belief(id);
-        belief.accepted(attempt);
-        belief.estimate.ended(&attempt);
-        belief.breaker.succeeded();
+        let view = self.view_mut(id);
+        view.accepted(attempt);
+        view.estimate.ended(&attempt);
+        view.breaker.succeeded();
     }
 
     pub(crate) fn released(&mut self, id: &BackendId, attempt: AttemptId) {
-        let belief = self.belief(id);
-        belief.probe_released(attempt);
-        belief.estimate.ended(&attempt);
-        belief.breaker.released();
+        let view = self.view_mut(id);
+        view.probe_released(attempt);
+        view.estimate.ended(&attempt);
+        view.breaker.released();
     }
 
     pub(crate) fn failed(&mut self, id: &BackendId, attempt: AttemptId, now: Millis) {
-        let belief = self.belief(id);
-        belief.probe_released(attempt);
-        belief.estimate.ended(&attempt);
-        belief.breaker.failed(now);
+        let view = self.view_mut(id);
+        view.probe_released(attempt);
+        view.estimate.ended(&attempt);
+        view.breaker.failed(now);
     }
 
     /// Notes that a back end takes no new work on purpose: no fault of it.
     pub(crate) fn draining(&mut self, id: &BackendId, attempt: AttemptId, now: Millis) {
         self.released(id, attempt);
-        self.belief(id).avoid_until = now + DRAINING_PAUSE;
+        self.view_mut(id).avoid_until = now + DRAINING_PAUSE;
     }
 
     /// Engines of a service with a model that may take work now.
@@ -181,7 +181,7 @@
         model: &ModelId,
         excluded: &[BackendId],
         now: Millis,
-    ) -> Vec<Eligible<'a>> {
+    ) -> Vec<BackendRef<'a>> {
         self.healthy(engines_of(configuration, service, model), excluded, now)
     }
 
@@ -200,8 +200,8 @@
             .backends
             .iter()
             .filter(|(_, record)| holds(record))
-            .find_map(|(id, _)| self.known(id))
-            .map(|belief| belief.estimate.capacity())
+            .find_map(|(id, _)| self.view_of(id))
+            .map(|view| view.estimate.capacity())
             .unwrap_or_default()
     }
 
@@ -212,7 +212,7 @@
         service: &ServiceId,
         excluded: &[BackendId],
         now: Millis,
-    ) -> Vec<Eligible<'a>> {
+    ) -> Vec<BackendRef<'a>> {
         self.healthy(instances_of(configuration, service), excluded, now)
     }
 
@@ -220,19 +220,19 @@
     /// left that will.
     pub(crate) fn all_in_backoff<'a>(
         &self,
-        all: impl Iterator<Item = &'a Eligible<'a>>,
+        candidates: impl Iterator<Item = &'a BackendRef<'a>>,
         now: Millis,
     ) -> Option<Millis> {
-        let remaining = |one: &Eligible<'_>| match self.known(one.id) {
-            Some(belief) if belief.availability.is_draining(now) => None,
-            Some(belief) => belief
+        let remaining = |candidate: &BackendRef<'_>| match self.view_of(candidate.id) {
+            Some(view) if view.availability.is_draining(now) => None,
+            Some(view) => view
                 .availability
                 .backoff_remaining(now)
                 .or(Some(Millis::ZERO)),
             None => Some(Millis::ZERO),
         };
-        let first = all.filter_map(remaining).min()?;
-        (first > Millis::ZERO).then_some(first)
+        let shortest = candidates.filter_map(remaining).min()?;
+        (shortest > Millis::ZERO).then_some(shortest)
     }
 
     /// Engines whose load is due to be asked for.
@@ -247,11 +247,11 @@
             if record.registration.kind != BackendKind::Engine {
                 continue;
             }
-            let belief = self.belief(id);
-            let elapsed = belief.polled_at.map_or(Millis::NEVER, |at| now.since(at));
+            let view = self.view_mut(id);
+            let elapsed = view.polled_at.map_or(Millis::NEVER, |at| now.since(at));
             if elapsed >= interval {
-                belief.polled_at = Some(now);
-                belief.first_polled_at.get_or_insert(now);
+                view.polled_at = Some(now);
+                view.first_polled_at.get_or_insert(now);
                 due.push((id.clone(), record.registration.address.clone()));
             }
         }
@@ -263,43 +263,44 @@
     /// so many open, the fault is likely elsewhere.
     fn healthy<'a>(
         &self,
-        all: Vec<Eligible<'a>>,
+        candidates: Vec<BackendRef<'a>>,
         excluded: &[BackendId],
         now: Millis,
-    ) -> Vec<Eligible<'a>> {
-        let total = all.len();
-        let usable: Vec<Eligible<'a>> = all
+    ) -> Vec<BackendRef<'a>> {
+        let total = candidates.len();
+        let usable: Vec<BackendRef<'a>> = candidates
             .into_iter()
-            .filter(|one| !excluded.contains(one.id) && !self.is_avoided(one.id, now))
+            .filter(|candidate| {
+                !excluded.contains(candidate.id) && !self.is_blocked(candidate.id, now)
+            })
             .collect();
-        let closed: Vec<Eligible<'a>> = usable
+        let with_closed_breaker: Vec<BackendRef<'a>> = usable
             .iter()
-            .filter(|one| self.breaker_allows(one.id, now))
+            .filter(|candidate| self.breaker_allows(candidate.id, now))
             .cloned()
             .collect();
-        if closed.len() * 2 >= total {
-            closed
+        if with_closed_breaker.len() * 2 >= total {
+            with_closed_breaker
         } else {
             usable
         }
     }
 
-    fn is_avoided(&self, id: &BackendId, now: Millis) -> bool {
+    fn is_blocked(&self, id: &BackendId, now: Millis) -> bool {
         // What was reported outlasts the request that met it.
-        let takes_none =
-            |belief: &Belief| now < belief.avoid_until || !belief.availability.allows(now);
-        self.known(id).is_some_and(takes_none) || self.is_silent(id, now)
+        let rejects_requests =
+            |view: &BackendView| now < view.avoid_until || !view.availability.allows(now);
+        self.view_of(id).is_some_and(rejects_requests) || self.is_silent(id, now)
     }
 
     /// Whether an engine stopped answering: frozen, lost or cut off.
     pub(crate) fn is_silent(&self, id: &BackendId, now: Millis) -> bool {
-        self.known(id)
-            .is_some_and(|belief| belief.silent_for(now) >= SILENT_ENGINE)
+        self.view_of(id)
+            .is_some_and(|view| view.time_since_contact(now) >= ENGINE_SILENCE_TIMEOUT)
     }
 
     fn breaker_allows(&self, id: &BackendId, now: Millis) -> bool {
-        self.known(id)
-            .is_none_or(|belief| belief.breaker.allows(now))
+        self.view_of(id).is_none_or(|view| view.breaker.allows(now))
     }
 }
 
@@ -308,26 +309,26 @@
     configuration: &'a Configuration,
     service: &ServiceId,
     model: &ModelId,
-) -> Vec<Eligible<'a>> {
-    let of_model = configuration.backends.iter().filter_map(|(id, record)| {
+) -> Vec<BackendRef<'a>> {
+    let engines_of_model = configuration.backends.iter().filter_map(|(id, record)| {
         let assignment = record.assignment()?;
-        let fits = record.registration.service == *service && assignment.model == *model;
+        let is_match = record.registration.service == *service && assignment.model == *model;
         let role = assignment.role;
-        (fits && record.takes_work()).then_some(Eligible { id, record, role })
+        (is_match && record.takes_work()).then_some(BackendRef { id, record, role })
     });
-    of_model.collect()
+    engines_of_model.collect()
 }
 
 /// Instances of an application service, as the configuration has them.
 pub(crate) fn instances_of<'a>(
     configuration: &'a Configuration,
     service: &ServiceId,
-) -> Vec<Eligible<'a>> {
-    let of_service = configuration.backends.iter().filter_map(|(id, record)| {
+) -> Vec<BackendRef<'a>> {
+    let instances_of_service = configuration.backends.iter().filter_map(|(id, record)| {
         let is_application = record.registration.kind == BackendKind::Application;
-        let fits = record.registration.service == *service && is_application;
+        let is_match = record.registration.service == *service && is_application;
         let role = EngineRole::Mixed;
-        (fits && record.takes_work()).then_some(Eligible { id, record, role })
+        (is_match && record.takes_work()).then_some(BackendRef { id, record, role })
     });
-    of_service.collect()
+    instances_of_service.collect()
 }
--- a/components/gateway/src/body_hash.rs
+++ b/components/gateway/src/body_hash.rs
@@ -8,11 +8,11 @@
 /// Hash of everything that makes two requests with one key the same request.
 pub(crate) fn body_hash(tenant: &TenantId, work: &Work) -> u64 {
     let mut hash = Xxh3::new();
-    let mut add = |part: &[u8]| {
-        hash.update(&(part.len() as u64).to_le_bytes());
-        hash.update(part);
+    let mut add_field = |field: &[u8]| {
+        hash.update(&(field.len() as u64).to_le_bytes());
+        hash.update(field);
     };
-    add(tenant.as_str().as_bytes());
+    add_field(tenant.as_str().as_bytes());
     match work {
         Work::Completion {
             model,
@@ -20,9 +20,9 @@
             max_tokens,
             ..
         } => {
-            add(model.as_str().as_bytes());
-            add(prompt.as_bytes());
-            add(&max_tokens.to_le_bytes());
+            add_field(model.as_str().as_bytes());
+            add_field(prompt.as_bytes());
+            add_field(&max_tokens.to_le_bytes());
         }
         Work::Application {
             service,
@@ -31,10 +31,10 @@
             body,
             ..
         } => {
-            add(service.as_str().as_bytes());
-            add(method.as_bytes());
-            add(path.as_bytes());
-            add(body);
+            add_field(service.as_str().as_bytes());
+            add_field(method.as_bytes());
+            add_field(path.as_bytes());
+            add_field(body);
         }
     }
     hash.digest()
--- a/components/gateway/src/claiming.rs
+++ b/components/gateway/src/claims.rs
@@ -43,7 +43,7 @@
 
     pub(crate) fn handle_claim_answer(&mut self, claim: &ClaimCommand, answer: ClaimAnswer) {
         if answer == ClaimAnswer::Noted {
-            self.obligations.remove(&claim.claim);
+            self.unacknowledged_claims.remove(&claim.claim);
             return;
         }
         let id = claim.claim.request;
@@ -52,11 +52,11 @@
             same && matches!(request.stage, Stage::Claiming { .. })
         });
         if awaited {
-            self.take_claim_answer(id, answer);
+            self.apply_claim_answer(id, answer);
         }
     }
 
-    fn take_claim_answer(&mut self, id: RequestId, answer: ClaimAnswer) {
+    fn apply_claim_answer(&mut self, id: RequestId, answer: ClaimAnswer) {
         match answer {
             ClaimAnswer::Granted => self.route(id),
             ClaimAnswer::Recorded(response) => self.finish(id, Answer::Response(response)),
@@ -92,37 +92,40 @@
             return;
         }
         if let Some(claim) = request.claim.take() {
-            self.oblige(ClaimRequest::Release(claim));
+            self.send_until_acknowledged(ClaimRequest::Release(claim));
         }
     }
 
     /// Keeps the answer of a claimed request for resends.
     pub(crate) fn record_result(&mut self, id: RequestId, response: &RecordedResponse) {
-        let claim = self.requests.get(&id).and_then(|one| one.claim.clone());
+        let claim = self
+            .requests
+            .get(&id)
+            .and_then(|request| request.claim.clone());
         // A larger answer is not kept: a resend then hears "in doubt".
         if let Some(claim) = claim
             && response.body.len() <= MAX_RECORDED_BYTES
         {
             let response = response.clone();
-            self.oblige(ClaimRequest::Record { claim, response });
+            self.send_until_acknowledged(ClaimRequest::Record { claim, response });
         }
     }
 
     pub(crate) fn resend_claims(&mut self) {
         let now = self.now;
-        let patience = self.settings.claim_resend;
+        let resend_interval = self.settings.claim_resend_interval;
         let mut due = Vec::new();
         for request in self.requests.values_mut() {
             if let Stage::Claiming { sent_at } = &mut request.stage
-                && now.since(*sent_at) >= patience
+                && now.since(*sent_at) >= resend_interval
                 && let Some(claim) = &request.claim
             {
                 *sent_at = now;
                 due.push(ClaimRequest::Claim(claim.clone()));
             }
         }
-        for (obligation, sent_at) in self.obligations.values_mut() {
-            if now.since(*sent_at) >= patience {
+        for (obligation, sent_at) in self.unacknowledged_claims.values_mut() {
+            if now.since(*sent_at) >= resend_interval {
                 *sent_at = now;
                 due.push(obligation.clone());
             }
@@ -132,9 +135,10 @@
         }
     }
 
-    fn oblige(&mut self, request: ClaimRequest) {
+    fn send_until_acknowledged(&mut self, request: ClaimRequest) {
         let claim = request.claim().claim.clone();
-        self.obligations.insert(claim, (request.clone(), self.now));
+        self.unacknowledged_claims
+            .insert(claim, (request.clone(), self.now));
         self.send_claim_request(request);
     }
 
--- a/components/gateway/src/completion/dispatch.rs
+++ b/components/gateway/src/completion/dispatch.rs
@@ -8,13 +8,13 @@
 use crate::gateway::Gateway;
 use crate::request::Stage;
 
-use super::choice::{Phase, Placement};
 use super::engine_class;
+use super::placement::{Phase, Placement};
 
 impl Gateway {
     pub(super) fn dispatch_completion(&mut self, id: RequestId, placement: &Placement) {
         let request = &self.requests[&id];
-        if request.tried.is_empty() && request.resumed == 0 {
+        if request.failed_backends.is_empty() && request.resumed == 0 {
             let service = request.service.clone();
             self.earn_retry(&service);
         }
@@ -31,7 +31,10 @@
     /// Dispatches a request whose prompt is already read. `false` where no cache waits
     /// for it or no engine generates.
     fn dispatch_with_cache(&mut self, id: RequestId) -> bool {
-        let cache = self.requests.get(&id).and_then(|one| one.cache.clone());
+        let cache = self
+            .requests
+            .get(&id)
+            .and_then(|request| request.kv_cache.clone());
         let Some(cache) = cache else {
             return false;
         };
@@ -51,7 +54,7 @@
         };
         let job = Job::Prefill {
             model: model.clone(),
-            prompt: prompt_so_far(prompt, &request.delivered),
+            prompt: prompt_with_delivered_tokens(prompt, &request.delivered),
             class: engine_class(request.verdict.class),
         };
         let attempt = self.start_attempt(id, backend, job, Phase::Prefill);
@@ -102,11 +105,11 @@
     ) -> AttemptId {
         let attempt = self.new_attempt(id, backend);
         let shape = self.shape(&self.requests[&id], backend, phase);
-        let unread = shape
+        let uncached_tokens = shape
             .prompt_tokens
             .saturating_sub(shape.cached_tokens + shape.transferred_tokens);
         let work = OwnWork {
-            prompt_tokens: unread,
+            prompt_tokens: uncached_tokens,
             decodes: phase != Phase::Prefill,
             sent_at: self.now,
             prompt_read: phase == Phase::Decode,
@@ -115,8 +118,8 @@
         let now = self.now;
         if let Some(request) = self.requests.get_mut(&id) {
             match phase {
-                Phase::Prefill => request.note_prefill_dispatch(now),
-                Phase::Both | Phase::Decode => request.note_dispatch(now),
+                Phase::Prefill => request.record_prefill_dispatch(now),
+                Phase::Both | Phase::Decode => request.record_dispatch(now),
             }
         }
         let address = self.address_of(backend);
@@ -149,7 +152,7 @@
 }
 
 /// The prompt with the tokens that were generated so far.
-fn prompt_so_far(prompt: &str, delivered: &[String]) -> String {
+fn prompt_with_delivered_tokens(prompt: &str, delivered: &[String]) -> String {
     if delivered.is_empty() {
         return prompt.to_owned();
     }
--- a/components/gateway/src/completion/mod.rs
+++ b/components/gateway/src/completion/mod.rs
@@ -1,8 +1,8 @@
 //! Text generation: choice of engines, streams, and resumption.
 
-mod choice;
 mod dispatch;
 mod outcomes;
+mod placement;
 
 use garnet_routing::{Admission, Waiting, admit};
 use garnet_types::{Class, Millis, OutcomeCode, Refusal, RequestId};
@@ -14,21 +14,21 @@
 /// Told when no engine of the pool can be reached.
 const NO_ENGINE_RETRY_AFTER: Millis = Millis::from_secs(2);
 /// Requests looked at in one pass over the queue.
-const WAITING_PASS: usize = 64;
+const MAX_WAITING_PER_PASS: usize = 64;
 
 impl Gateway {
     pub(crate) fn route_completion(&mut self, id: RequestId) {
-        let Some(predicted) = self.place(id) else {
-            self.no_engine(id);
+        let Some(predicted) = self.choose_placement(id) else {
+            self.on_no_engine(id);
             return;
         };
         let request = &self.requests[&id];
-        let remaining = request.deadline.since(self.now);
+        let time_left = request.deadline.since(self.now);
         let generation = self.generation_time(request);
         let decision = admit(
             predicted.first_token,
             generation,
-            remaining,
+            time_left,
             &request.verdict,
             &self.settings.admission,
         );
@@ -48,21 +48,21 @@
     }
 
     /// No engine takes work: waits where it may, else ends at once.
-    pub(super) fn no_engine(&mut self, id: RequestId) {
-        if self.wait_for_permit(id, None) {
+    pub(super) fn on_no_engine(&mut self, id: RequestId) {
+        if self.request_permit(id, None) {
             return;
         }
         let request = &self.requests[&id];
         // Work was done for a request whose prompt is read: it waits while its time
         // lasts, since engines come back from a planned stop.
-        let has_begun = request.prompt_read || !request.delivered.is_empty();
+        let has_begun = request.is_prefilled || !request.delivered.is_empty();
         let may_wait = request.verdict.may_wait || has_begun;
-        let backoff = self.backoff_of(request);
-        let is_in_time = backoff.is_none_or(|first| {
+        let backoff = self.remaining_backoff(request);
+        let can_meet_deadline = backoff.is_none_or(|first| {
             let latest_start = request.deadline - self.generation_time(request);
             self.now + first <= latest_start
         });
-        if may_wait && is_in_time {
+        if may_wait && can_meet_deadline {
             self.wait_for_engine(id);
             return;
         }
@@ -79,7 +79,7 @@
     /// Lets a request wait until an engine takes it, also one that it failed at.
     pub(crate) fn wait_for_engine(&mut self, id: RequestId) {
         if let Some(request) = self.requests.get_mut(&id) {
-            request.tried.clear();
+            request.failed_backends.clear();
         }
         self.enqueue(id);
     }
@@ -113,13 +113,13 @@
             &[],
             self.now,
         );
-        let step = engines
+        let decode_step_ms = engines
             .iter()
             .filter(|engine| engine.role.generates())
-            .filter_map(|engine| self.backends.known(engine.id))
-            .map(|belief| belief.estimate.snapshot(self.now).capacity.decode_step_ms)
+            .filter_map(|engine| self.backends.view_of(engine.id))
+            .map(|view| view.estimate.snapshot(self.now).capacity.decode_step_ms)
             .fold(0.0, f64::max);
-        Millis((request.missing_tokens() as f64 * step) as u64)
+        Millis((request.remaining_tokens() as f64 * decode_step_ms) as u64)
     }
 
     // ---- Waiting ----
@@ -159,20 +159,20 @@
             return;
         }
         let target = self.settings.admission.first_token_target;
-        for _ in 0..WAITING_PASS {
+        for _ in 0..MAX_WAITING_PER_PASS {
             let Some(waiting) = self.waiting.pop(self.now) else {
                 return;
             };
             if self.refuse_if_quarantined(waiting.item) {
                 continue;
             }
-            match self.place(waiting.item) {
+            match self.choose_placement(waiting.item) {
                 Some(predicted) if predicted.first_token <= target => {
                     self.dispatch_completion(waiting.item, &predicted.placement);
                 }
-                placed => {
-                    if placed.is_none() {
-                        self.ask_for_any(waiting.item);
+                placement => {
+                    if placement.is_none() {
+                        self.request_spare_permit(waiting.item);
                     }
                     self.waiting.put_back(waiting);
                     return;
--- a/components/gateway/src/completion/outcomes.rs
+++ b/components/gateway/src/completion/outcomes.rs
@@ -2,7 +2,7 @@
 
 use garnet_types::{BackendId, OutcomeCode, Refusal, RequestId};
 
-use crate::backends::SILENT_ENGINE;
+use crate::backends::ENGINE_SILENCE_TIMEOUT;
 use crate::call::{Answer, CompletedText, Work};
 use crate::effects::{AttemptEvent, AttemptId, Effect, KvSource};
 use crate::gateway::Gateway;
@@ -20,19 +20,19 @@
         event: AttemptEvent,
     ) {
         match event {
-            AttemptEvent::Prefilled { handle } => self.prefilled(id, attempt, backend, handle),
+            AttemptEvent::Prefilled { handle } => self.on_prefilled(id, attempt, backend, handle),
             AttemptEvent::Tokens { first, tokens } => {
-                self.tokens(id, attempt, backend, first, tokens);
+                self.on_tokens(id, attempt, backend, first, tokens);
             }
-            AttemptEvent::Finished { total } => self.finished(id, attempt, backend, total),
+            AttemptEvent::Finished { total } => self.on_finished(id, attempt, backend, total),
             AttemptEvent::NotStarted { draining } => {
-                self.end_unstarted(id, attempt, backend, draining);
-                self.try_elsewhere(id);
+                self.end_not_started(id, attempt, backend, draining);
+                self.retry_elsewhere(id);
             }
-            AttemptEvent::CacheGone => self.cache_gone(id, attempt, backend),
+            AttemptEvent::CacheGone => self.on_cache_gone(id, attempt, backend),
             AttemptEvent::Broken => {
-                self.run_crashed(id, backend);
-                self.broken(id, attempt, backend);
+                self.record_crash(id, backend);
+                self.on_broken(id, attempt, backend);
             }
             // Applications' answers make no sense here.
             AttemptEvent::Limit(_)
@@ -42,7 +42,7 @@
         }
     }
 
-    pub(super) fn prefilled(
+    pub(super) fn on_prefilled(
         &mut self,
         id: RequestId,
         attempt: AttemptId,
@@ -59,32 +59,32 @@
             return;
         }
         if let Some(request) = self.requests.get_mut(&id) {
-            request.prompt_read = true;
-            request.cache = Some(kv.clone());
+            request.is_prefilled = true;
+            request.kv_cache = Some(kv.clone());
         }
         // The decode engine is chosen now, with what is known now.
         match self.choose_decode(id) {
             Some(decode) => self.dispatch_generate(id, &decode, Some(kv)),
-            None if self.wait_for_permit(id, Some(kv)) => {}
-            None => self.try_elsewhere(id),
+            None if self.request_permit(id, Some(kv)) => {}
+            None => self.retry_elsewhere(id),
         }
     }
 
     /// Has the prompt read again: the decode engine is not at fault and may be chosen
     /// again.
-    fn cache_gone(&mut self, id: RequestId, attempt: AttemptId, backend: &BackendId) {
+    fn on_cache_gone(&mut self, id: RequestId, attempt: AttemptId, backend: &BackendId) {
         self.attempts.remove(&attempt);
         self.backends.released(backend, attempt);
         if let Some(request) = self.requests.get_mut(&id) {
-            request.note_unstarted();
-            request.cache = None;
+            request.record_not_started();
+            request.kv_cache = None;
         }
-        self.try_elsewhere(id);
+        self.retry_elsewhere(id);
     }
 
     /// Takes tokens in order: a repeated one is dropped, a gap breaks the
     /// attempt, so an answer with a hole never looks whole.
-    pub(super) fn tokens(
+    pub(super) fn on_tokens(
         &mut self,
         id: RequestId,
         attempt: AttemptId,
@@ -92,36 +92,39 @@
         first: u64,
         tokens: Vec<String>,
     ) {
-        self.backends.belief(backend).estimate.prompt_read(&attempt);
+        self.backends
+            .view_mut(backend)
+            .estimate
+            .prompt_read(&attempt);
         self.backends.accepted(backend, attempt);
         let now = self.now;
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
-        request.cache = None;
+        request.kv_cache = None;
         let delivered = request.delivered.len() as u64;
         if first > delivered {
-            self.broken(id, attempt, backend);
+            self.on_broken(id, attempt, backend);
             return;
         }
         let repeated = (delivered - first) as usize;
-        let new: Vec<String> = tokens.into_iter().skip(repeated).collect();
-        if new.is_empty() {
+        let new_tokens: Vec<String> = tokens.into_iter().skip(repeated).collect();
+        if new_tokens.is_empty() {
             return;
         }
-        request.delivered.extend(new.iter().cloned());
+        request.delivered.extend(new_tokens.iter().cloned());
         request.progress_at = now;
-        let streams = matches!(request.call.work, Work::Completion { stream: true, .. });
-        if streams && !request.answered {
+        let is_streamed = matches!(request.call.work, Work::Completion { stream: true, .. });
+        if is_streamed && !request.answered {
             self.emit(Effect::Tokens {
                 request: id,
                 first: delivered,
-                tokens: new,
+                tokens: new_tokens,
             });
         }
     }
 
-    pub(super) fn finished(
+    pub(super) fn on_finished(
         &mut self,
         id: RequestId,
         attempt: AttemptId,
@@ -130,12 +133,12 @@
     ) {
         let delivered = self.requests[&id].delivered.len() as u64;
         if delivered != total {
-            self.broken(id, attempt, backend);
+            self.on_broken(id, attempt, backend);
             return;
         }
         self.attempts.remove(&attempt);
         self.backends.succeeded(backend, attempt);
-        self.run_completed(id);
+        self.record_completed_run(id);
         self.set_stage(id, Stage::Waiting);
         let request = &self.requests[&id];
         let text = CompletedText {
@@ -150,11 +153,11 @@
         self.serve_waiting();
     }
 
-    pub(super) fn broken(&mut self, id: RequestId, attempt: AttemptId, backend: &BackendId) {
+    pub(super) fn on_broken(&mut self, id: RequestId, attempt: AttemptId, backend: &BackendId) {
         self.attempts.remove(&attempt);
         self.backends.failed(backend, attempt, self.now);
         self.emit(Effect::Cancel(attempt));
-        self.note_tried(id, backend);
+        self.record_failed_backend(id, backend);
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
@@ -166,32 +169,32 @@
             self.finish(id, Answer::Refused(refusal));
             return;
         }
-        request.cache = None;
+        request.kv_cache = None;
         if !request.delivered.is_empty() {
             request.resumed += 1;
             self.counters.resumed += 1;
         }
-        if self.has_ended_enough(id) {
+        if self.is_suspected(id) {
             self.set_stage(id, Stage::Waiting);
             let message = "engines ended under this request";
             let refusal = Refusal::not_run(OutcomeCode::NotRun, NO_ENGINE_RETRY_AFTER, message);
             self.end_without_answer(id, refusal);
             return;
         }
-        self.try_elsewhere(id);
+        self.retry_elsewhere(id);
     }
 
     /// Breaks attempts off whose engine neither gives tokens nor reports: a
     /// frozen engine answers nothing and closes nothing. Where nobody can go on
     /// the engine is waited for: it may be slow, and left it ends the answer.
-    pub(crate) fn break_stalled(&mut self) {
+    pub(crate) fn abort_stalled(&mut self) {
         let now = self.now;
         let stalled: Vec<(RequestId, AttemptId, BackendId)> = self
             .requests
             .iter()
-            .filter(|(_, request)| now.since(request.progress_at) >= SILENT_ENGINE)
+            .filter(|(_, request)| now.since(request.progress_at) >= ENGINE_SILENCE_TIMEOUT)
             .filter(|(_, request)| request.model().is_some())
-            .filter(|(_, request)| self.may_go_elsewhere(request))
+            .filter(|(_, request)| self.may_retry_elsewhere(request))
             .filter_map(|(id, request)| {
                 let attempt = request.attempt()?;
                 let (_, backend) = self.attempts.get(&attempt)?;
@@ -200,19 +203,19 @@
             .filter(|(_, _, backend)| self.backends.is_silent(backend, now))
             .collect();
         for (id, attempt, backend) in stalled {
-            self.broken(id, attempt, &backend);
+            self.on_broken(id, attempt, &backend);
         }
     }
 
     /// Whether another engine may do the request's present work, as far as
     /// promises and the budget go.
-    fn may_go_elsewhere(&self, request: &Request) -> bool {
+    fn may_retry_elsewhere(&self, request: &Request) -> bool {
         let may_repeat = request.is_prefilling() || request.is_repeatable();
-        may_repeat && self.has_retry(&request.service)
+        may_repeat && self.has_retry_left(&request.service)
     }
 
     /// Goes on at another engine, under the retry budget.
-    pub(crate) fn try_elsewhere(&mut self, id: RequestId) {
+    pub(crate) fn retry_elsewhere(&mut self, id: RequestId) {
         self.set_stage(id, Stage::Waiting);
         if self.refuse_if_quarantined(id) {
             return;
--- a/components/gateway/src/completion/choice.rs
+++ b/components/gateway/src/completion/placement.rs
@@ -3,7 +3,7 @@
 use garnet_routing::{Candidate, WorkShape, choose, predict_first_token};
 use garnet_types::{BackendId, Millis, RequestId};
 
-use crate::backends::Eligible;
+use crate::backends::BackendRef;
 use crate::gateway::Gateway;
 use crate::request::Request;
 
@@ -18,13 +18,13 @@
 
 /// A placement with its predicted time to the first token.
 #[derive(Debug, Clone)]
-pub(super) struct Predicted {
+pub(super) struct PredictedPlacement {
     pub(super) placement: Placement,
     pub(super) first_token: Millis,
 }
 
 impl Gateway {
-    pub(super) fn place(&mut self, id: RequestId) -> Option<Predicted> {
+    pub(super) fn choose_placement(&mut self, id: RequestId) -> Option<PredictedPlacement> {
         let request = self.requests.get(&id)?;
         let engines = self.untried_engines(request)?;
         let mut single = Vec::new();
@@ -40,8 +40,12 @@
             }
             if engine.role.generates() {
                 let candidate = self.candidate(request, engine, Phase::Decode);
-                let takes_all = self.is_unlimited(engine.id);
-                let decode = if takes_all { &mut decode } else { &mut limited };
+                let has_no_limit = self.is_unlimited(engine.id);
+                let decode = if has_no_limit {
+                    &mut decode
+                } else {
+                    &mut limited
+                };
                 decode.push(candidate);
             }
         }
@@ -50,8 +54,9 @@
         if decode.is_empty() {
             decode = limited;
         }
-        let [single, prefill, decode] =
-            [single, prefill, decode].map(|all| self.due_first(all, |one| &one.backend));
+        let [single, prefill, decode] = [single, prefill, decode].map(|candidates_of_phase| {
+            self.prefer_due(candidates_of_phase, |candidate| &candidate.backend)
+        });
         let single = choose(&single, &mut self.random);
         let prefill = choose(&prefill, &mut self.random);
         let decode = choose(&decode, &mut self.random);
@@ -59,28 +64,30 @@
     }
 
     /// Engines that may take the request and have not failed it yet.
-    fn untried_engines(&self, request: &Request) -> Option<Vec<Eligible<'_>>> {
+    fn untried_engines(&self, request: &Request) -> Option<Vec<BackendRef<'_>>> {
         let model = request.model()?;
         let engines = self.backends.engines(
             &self.watched.configuration,
             &request.service,
             model,
-            &request.tried,
+            &request.failed_backends,
             self.now,
         );
-        let engines = engines.into_iter().filter(|one| self.may_send(one.id));
-        Some(self.keep_apart(request, engines.collect()))
+        let engines = engines
+            .into_iter()
+            .filter(|candidate| self.may_send(candidate.id));
+        Some(self.restrict_suspected(request, engines.collect()))
     }
 
     pub(super) fn candidate(
         &self,
         request: &Request,
-        engine: &Eligible<'_>,
+        engine: &BackendRef<'_>,
         phase: Phase,
     ) -> Candidate {
         let shape = self.shape(request, engine.id, phase);
-        let predicted = match self.backends.known(engine.id) {
-            Some(belief) => predict_first_token(&belief.estimate.snapshot(self.now), &shape),
+        let predicted = match self.backends.view_of(engine.id) {
+            Some(view) => predict_first_token(&view.estimate.snapshot(self.now), &shape),
             None => Millis::ZERO,
         };
         Candidate {
@@ -95,7 +102,7 @@
             .backends
             .prefixes
             .cached_tokens(engine, &request.prompt_blocks);
-        let output_tokens = request.missing_tokens();
+        let output_tokens = request.remaining_tokens();
         match phase {
             Phase::Both => WorkShape {
                 prompt_tokens,
@@ -126,7 +133,7 @@
             .filter(|engine| engine.role.generates())
             .map(|engine| self.candidate(request, engine, Phase::Decode))
             .collect();
-        let candidates = self.due_first(candidates, |one| &one.backend);
+        let candidates = self.prefer_due(candidates, |candidate| &candidate.backend);
         choose(&candidates, &mut self.random).map(|chosen| chosen.backend)
     }
 }
@@ -143,13 +150,13 @@
     single: Option<Candidate>,
     prefill: Option<Candidate>,
     decode: Option<Candidate>,
-) -> Option<Predicted> {
-    let single = single.map(|one| Predicted {
-        placement: Placement::Single(one.backend),
-        first_token: one.predicted,
+) -> Option<PredictedPlacement> {
+    let single = single.map(|candidate| PredictedPlacement {
+        placement: Placement::Single(candidate.backend),
+        first_token: candidate.predicted,
     });
     let pair = prefill.zip(decode).and_then(|(prefill, decode)| {
-        (prefill.backend != decode.backend).then(|| Predicted {
+        (prefill.backend != decode.backend).then(|| PredictedPlacement {
             first_token: prefill.predicted + decode.predicted,
             placement: Placement::PrefillFirst(prefill.backend),
         })
--- a/components/gateway/src/configuration.rs
+++ b/components/gateway/src/configuration.rs
@@ -6,7 +6,7 @@
 
 /// Configuration, compiled policies and lease.
 #[derive(Default)]
-pub(crate) struct Watched {
+pub(crate) struct WatchedConfiguration {
     pub(crate) configuration: Configuration,
     pub(crate) policies: PolicySet,
     /// Highest index that is on disk: what is told to the leader.
@@ -20,11 +20,11 @@
     pub(crate) answered_watch_sent_at: Option<Millis>,
 }
 
-impl Watched {
+impl WatchedConfiguration {
     pub(crate) fn new(highest_index: u64) -> Self {
-        Watched {
+        WatchedConfiguration {
             highest_index,
-            ..Watched::default()
+            ..WatchedConfiguration::default()
         }
     }
 
@@ -35,15 +35,19 @@
 
     /// Takes the answer to a watch that was sent at `sent_at`. Returns the new
     /// index when it rose.
-    pub(crate) fn take(&mut self, sent_at: Millis, update: WatchUpdate) -> Option<u64> {
-        let before = self.configuration.index;
+    pub(crate) fn apply_watch_answer(
+        &mut self,
+        sent_at: Millis,
+        update: WatchUpdate,
+    ) -> Option<u64> {
+        let previous_index = self.configuration.index;
         if !self.apply(update) {
             return None;
         }
         self.lease_until = self.lease_until.max(sent_at + CONFIGURATION_LEASE);
         self.answered_watch_sent_at = self.answered_watch_sent_at.max(Some(sent_at));
         self.highest_index = self.highest_index.max(self.configuration.index);
-        (self.configuration.index > before).then_some(self.configuration.index)
+        (self.configuration.index > previous_index).then_some(self.configuration.index)
     }
 
     /// Applies an update. `false` when it does not build on what is here or
@@ -55,14 +59,15 @@
             // What it works by until then may not be in force any more.
             WatchUpdate::UnderWay | WatchUpdate::Parts { .. } => false,
             WatchUpdate::Changes { from, to, changes } => {
-                let builds_on = from <= self.configuration.index && self.configuration.index > 0;
-                if !builds_on || to < self.highest_index {
+                let is_contiguous =
+                    from <= self.configuration.index && self.configuration.index > 0;
+                if !is_contiguous || to < self.highest_index {
                     return false;
                 }
                 // Changes are idempotent, and one command may make several
                 // at one index, so only those from before are left out.
-                let known = self.configuration.index;
-                for (index, change) in changes.iter().filter(|(index, _)| *index > known) {
+                let applied_index = self.configuration.index;
+                for (index, change) in changes.iter().filter(|(index, _)| *index > applied_index) {
                     self.configuration.change(*index, change);
                 }
                 self.configuration.index = self.configuration.index.max(to);
@@ -82,7 +87,7 @@
 
     /// Takes a whole configuration that came in parts. Gives the new index when it
     /// rose; the lease comes with the next answer to a watch.
-    pub(crate) fn take_whole(&mut self, configuration: Configuration) -> Option<u64> {
+    pub(crate) fn apply_full_configuration(&mut self, configuration: Configuration) -> Option<u64> {
         let index = configuration.index;
         if index < self.highest_index || index <= self.configuration.index {
             return None;
--- a/components/gateway/src/effects.rs
+++ b/components/gateway/src/effects.rs
@@ -112,7 +112,7 @@
     /// A request arrived.
     Call(Call),
     /// A caller left before its answer.
-    CallerGone(RequestId),
+    CallerDisconnected(RequestId),
     /// Something became of an attempt.
     Attempt(AttemptId, AttemptEvent),
     /// A control replica replied.
--- a/components/gateway/src/gateway/ending.rs
+++ b/components/gateway/src/gateway/answers.rs
@@ -13,7 +13,7 @@
         let Some(request) = self.requests.remove(&id) else {
             return;
         };
-        self.deadlines.remove(&(request.deadline, id));
+        self.timers.remove(&(request.deadline, id));
         self.waiting.remove(|waiting| *waiting == id);
         if let Some(attempt) = request.attempt()
             && let Some((_, backend)) = self.attempts.remove(&attempt)
@@ -22,21 +22,21 @@
             self.emit(Effect::Cancel(attempt));
         }
         if !request.answered {
-            self.give_answer(id, answer);
+            self.send_answer(id, answer);
         }
     }
 
     /// Gives the final answer while the attempt goes on for a resend.
-    pub(crate) fn answer_and_go_on(&mut self, id: RequestId, refusal: Refusal) {
+    pub(crate) fn answer_and_keep_running(&mut self, id: RequestId, refusal: Refusal) {
         if let Some(request) = self.requests.get_mut(&id)
             && !request.answered
         {
             request.answered = true;
-            self.give_answer(id, Answer::Refused(refusal));
+            self.send_answer(id, Answer::Refused(refusal));
         }
     }
 
-    pub(super) fn give_answer(&mut self, id: RequestId, answer: Answer) {
+    pub(super) fn send_answer(&mut self, id: RequestId, answer: Answer) {
         match &answer {
             Answer::Refused(refusal) => self.count_refusal(refusal),
             _ => self.counters.completed += 1,
@@ -57,13 +57,13 @@
             && request.model().is_some()
             && refusal.retry_after.is_some()
         {
-            self.refused.insert(request.body_hash(), self.now);
+            self.recently_refused.insert(request.body_hash(), self.now);
         }
         self.release_claim(id);
         self.finish(id, Answer::Refused(refusal));
     }
 
-    pub(super) fn caller_gone(&mut self, id: RequestId) {
+    pub(super) fn on_caller_disconnected(&mut self, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
--- a/components/gateway/src/gateway/arrival.rs
+++ b/components/gateway/src/gateway/arrival.rs
@@ -11,16 +11,16 @@
 use crate::effects::Effect;
 use crate::request::{Request, Stage};
 
-use super::{BUCKETS_STEP, Gateway, SHORT_RETRY_AFTER};
+use super::{BUCKET_CLEANUP_STEP, Gateway, SHORT_RETRY_AFTER};
 
 /// How long an unknown name waits for a fresh configuration.
-const REFRESH_PATIENCE: Millis = Millis(1500);
+const REFRESH_TIMEOUT: Millis = Millis(1500);
 
 /// Tenant of callers that name none.
 const ANONYMOUS: &str = "anonymous";
 
 impl Gateway {
-    pub(super) fn begin(&mut self, call: Call) {
+    pub(super) fn on_call(&mut self, call: Call) {
         self.counters.calls += 1;
         if self.draining {
             let message = "this gateway is stopping; another one takes the request";
@@ -54,11 +54,11 @@
             Work::Application { .. } => (0, Vec::new()),
         };
         let verdict = Verdict::default();
-        let patience = call.deadline.unwrap_or(verdict.deadline);
+        let timeout = call.deadline.unwrap_or(verdict.deadline);
         Request {
             stage: Stage::AwaitingConfiguration,
-            arrived: self.now,
-            deadline: self.now + patience,
+            arrived_at: self.now,
+            deadline: self.now + timeout,
             tenant: TenantId::default(),
             service: ServiceId::default(),
             verdict,
@@ -66,14 +66,14 @@
             delivered: Vec::new(),
             prompt_tokens,
             prompt_blocks,
-            tried: Vec::new(),
-            prompt_read: false,
-            cache: None,
+            failed_backends: Vec::new(),
+            is_prefilled: false,
+            kv_cache: None,
             may_have_run: false,
             may_have_run_before: false,
             answered: false,
             resumed: 0,
-            permits_asked: 0,
+            permits_requested: 0,
             dispatched_at: self.now,
             progress_at: self.now,
             call,
@@ -87,22 +87,22 @@
         let Some(request) = self.requests.get(&id) else {
             return;
         };
-        match self.find_target(&request.call) {
-            Ok((tenant, service)) => self.evaluate(id, tenant, service),
+        match self.resolve_target(&request.call) {
+            Ok((tenant, service)) => self.apply_policy(id, tenant, service),
             Err(refusal) if self.is_fresh_for(request) => self.refuse(id, refusal),
             Err(_) => {
-                let due = self.now + REFRESH_PATIENCE;
-                self.deadlines.insert((due, id));
-                self.watch_soon();
+                let due = self.now + REFRESH_TIMEOUT;
+                self.timers.insert((due, id));
+                self.send_urgent_watch();
             }
         }
     }
 
     pub(super) fn is_fresh_for(&self, request: &Request) -> bool {
-        self.watched.answered_watch_sent_at >= Some(request.arrived)
+        self.watched.answered_watch_sent_at >= Some(request.arrived_at)
     }
 
-    pub(super) fn find_target(&self, call: &Call) -> Result<(TenantId, ServiceId), Refusal> {
+    pub(super) fn resolve_target(&self, call: &Call) -> Result<(TenantId, ServiceId), Refusal> {
         let session = match &call.session {
             Some(id) => Some(self.find_session(id)?),
             None => None,
@@ -136,13 +136,16 @@
         service: Option<&ServiceId>,
     ) -> Result<ServiceId, Refusal> {
         let backends = self.watched.configuration.backends.values();
-        let holds = |record: &&garnet_control::BackendRecord| {
-            let fits = service.is_none_or(|wanted| record.registration.service == *wanted);
-            let model_fits = record.assignment().is_some_and(|has| has.model == *model);
-            fits && model_fits
+        let is_in_pool = |record: &&garnet_control::BackendRecord| {
+            let is_of_service =
+                service.is_none_or(|service_wanted| record.registration.service == *service_wanted);
+            let model_fits = record
+                .assignment()
+                .is_some_and(|assignment| assignment.model == *model);
+            is_of_service && model_fits
         };
         backends
-            .filter(holds)
+            .filter(is_in_pool)
             .map(|record| record.registration.service.clone())
             .next()
             .ok_or_else(|| {
@@ -160,7 +163,7 @@
         Err(Refusal::rejected(OutcomeCode::NotFound, message))
     }
 
-    pub(super) fn evaluate(&mut self, id: RequestId, tenant: TenantId, service: ServiceId) {
+    pub(super) fn apply_policy(&mut self, id: RequestId, tenant: TenantId, service: ServiceId) {
         let now = self.now;
         let Some(request) = self.requests.get_mut(&id) else {
             return;
@@ -169,15 +172,15 @@
         let evaluation = self.watched.policies.evaluate(&facts);
         self.counters.policy_failures += evaluation.failures;
         let allowed = evaluation.verdict.deadline;
-        let patience = request
+        let timeout = request
             .call
             .deadline
-            .map_or(allowed, |own| own.min(allowed));
-        request.deadline = request.arrived + patience;
+            .map_or(allowed, |requested| requested.min(allowed));
+        request.deadline = request.arrived_at + timeout;
         request.tenant = tenant.clone();
         request.service = service;
         request.verdict = evaluation.verdict;
-        self.deadlines.insert((request.deadline, id));
+        self.timers.insert((request.deadline, id));
         if self.refuse_if_quarantined(id) {
             return;
         }
@@ -186,8 +189,8 @@
         };
         let tokens = (request.prompt_tokens + request.max_tokens()) as f64;
         let rate = request.verdict.tenant_tokens_per_second;
-        self.note_offered(id);
-        self.forget_full_buckets();
+        self.count_offered_load(id);
+        self.remove_full_buckets();
         let bucket = self
             .buckets
             .entry(tenant)
@@ -198,27 +201,27 @@
             self.refuse(id, refusal);
             return;
         }
-        self.after_limits(id);
+        self.claim_or_route(id);
     }
 
     /// Tenants that were quiet cost nothing: names that callers make up do not
     /// fill the memory.
-    pub(super) fn forget_full_buckets(&mut self) {
-        if self.buckets.len() < self.buckets_limit {
+    pub(super) fn remove_full_buckets(&mut self) {
+        if self.buckets.len() < self.bucket_cleanup_threshold {
             return;
         }
         let now = self.now;
         self.buckets.retain(|_, bucket| !bucket.is_full(now));
-        self.buckets_limit = self.buckets.len() + BUCKETS_STEP;
+        self.bucket_cleanup_threshold = self.buckets.len() + BUCKET_CLEANUP_STEP;
     }
 
-    pub(super) fn after_limits(&mut self, id: RequestId) {
-        self.ask_for_spare_permit(id);
-        let keyed = self
+    pub(super) fn claim_or_route(&mut self, id: RequestId) {
+        self.request_periodic_spare_permit(id);
+        let has_key = self
             .requests
             .get(&id)
             .is_some_and(|request| request.call.key.is_some());
-        if keyed {
+        if has_key {
             self.send_claim(id);
         } else {
             self.route(id);
@@ -228,7 +231,7 @@
     /// Counts what is asked of a pool, for the planner. A request that comes
     /// back as it was told to was counted before: counted again, it would
     /// make a refused kind look several times as wanted as it is.
-    pub(super) fn note_offered(&mut self, id: RequestId) {
+    pub(super) fn count_offered_load(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id) else {
             return;
         };
@@ -236,7 +239,9 @@
             return;
         };
         // What may wait takes what the rest leaves.
-        let counted_before = self.refused.contains(request.body_hash(), self.now);
+        let counted_before = self
+            .recently_refused
+            .contains(request.body_hash(), self.now);
         if counted_before || request.verdict.may_wait {
             return;
         }
--- a/components/gateway/src/gateway/attempts.rs
+++ b/components/gateway/src/gateway/attempts.rs
@@ -28,11 +28,11 @@
             return;
         }
         match event {
-            AttemptEvent::Limit(said) => return self.take_limit(id, &backend, said),
+            AttemptEvent::Limit(rate) => return self.on_reported_limit(id, &backend, rate),
             AttemptEvent::Backoff(retry_after) => {
-                return self.request_backoff(&backend, retry_after);
+                return self.on_backoff_requested(&backend, retry_after);
             }
-            AttemptEvent::Draining => return self.report_draining(&backend),
+            AttemptEvent::Draining => return self.on_draining_reported(&backend),
             _ => {}
         }
         let is_completion = self.requests[&id].model().is_some();
@@ -50,7 +50,7 @@
         allowed
     }
 
-    pub(crate) fn has_retry(&self, service: &ServiceId) -> bool {
+    pub(crate) fn has_retry_left(&self, service: &ServiceId) -> bool {
         let budget = self.budgets.get(service);
         budget.is_none_or(RetryBudget::has_left)
     }
--- a/components/gateway/src/gateway/control.rs
+++ b/components/gateway/src/gateway/control.rs
@@ -14,19 +14,19 @@
 const URGENT_WATCH_INTERVAL: Millis = Millis(50);
 
 impl Gateway {
-    pub(super) fn watch_elapsed(&self) -> Millis {
-        self.watched_at
+    pub(super) fn time_since_watch(&self) -> Millis {
+        self.watch_sent_at
             .map_or(Millis::NEVER, |at| self.now.since(at))
     }
 
-    pub(super) fn watch_soon(&mut self) {
-        if self.watch_elapsed() >= URGENT_WATCH_INTERVAL {
-            self.watch();
+    pub(super) fn send_urgent_watch(&mut self) {
+        if self.time_since_watch() >= URGENT_WATCH_INTERVAL {
+            self.send_watch();
         }
     }
 
-    pub(super) fn watch(&mut self) {
-        self.watched_at = Some(self.now);
+    pub(super) fn send_watch(&mut self) {
+        self.watch_sent_at = Some(self.now);
         let mix = std::mem::take(&mut self.offered).into_values().collect();
         // Only what is on disk is confirmed.
         let configuration_index = self
@@ -44,7 +44,7 @@
             evidence: Vec::new(),
             copies: Vec::new(),
         }));
-        self.tell_runs();
+        self.send_run_report();
         self.send_limit_reports();
     }
 
@@ -57,60 +57,60 @@
                 gateways,
                 ..
             } => {
-                self.gateways = gateways;
+                self.gateway_count = gateways;
                 let before = self.watched.answered_watch_sent_at.unwrap_or_default();
-                self.note_leader(sent_at.since(before));
-                self.take_suspects(suspects);
+                self.on_leader_contact(sent_at.since(before));
+                self.update_suspects(suspects);
                 if let WatchUpdate::Parts { index } = update {
                     let next = self.watched.loader.offered(index, self.now);
-                    self.ask_for_part(next);
+                    self.request_part(next);
                 }
-                if let Some(index) = self.watched.take(sent_at, update) {
-                    self.follow_configuration(index);
+                if let Some(index) = self.watched.apply_watch_answer(sent_at, update) {
+                    self.on_configuration_changed(index);
                 }
                 self.resolve_awaiting();
                 self.serve_waiting();
             }
-            ControlReply::Part(part) => self.take_part(part),
+            ControlReply::Part(part) => self.on_configuration_part(part),
             ControlReply::Claim { claim, answer } => self.handle_claim_answer(&claim, answer),
             // The driver follows the address; whatever matters is sent again.
-            ControlReply::NotLeader { .. } => self.note_leader(Millis::NEVER),
+            ControlReply::NotLeader { .. } => self.on_leader_contact(Millis::NEVER),
             // This gateway reports none.
             ControlReply::Usage(_) => {}
-            ControlReply::Limits(told) => self.take_limits(&told),
-            ControlReply::Permit(answer) => self.take_permit(&answer),
-            ControlReply::RunsNoted { through } => self.runs_noted(through),
+            ControlReply::Limits(limit_update) => self.on_limit_update(&limit_update),
+            ControlReply::Permit(answer) => self.on_permit_answer(&answer),
+            ControlReply::RunsNoted { through } => self.on_runs_acknowledged(through),
         }
     }
 
-    fn take_part(&mut self, part: Option<ConfigurationPart>) {
+    fn on_configuration_part(&mut self, part: Option<ConfigurationPart>) {
         // One that is not to be had any more is offered under another index.
         let Some(part) = part else {
             return;
         };
         match self.watched.loader.take(part, self.now) {
-            TakenPart::Next(next) => self.ask_for_part(Some(next)),
+            TakenPart::Next(next) => self.request_part(Some(next)),
             TakenPart::Whole(configuration) => {
-                if let Some(index) = self.watched.take_whole(configuration) {
-                    self.follow_configuration(index);
+                if let Some(index) = self.watched.apply_full_configuration(configuration) {
+                    self.on_configuration_changed(index);
                 }
-                self.watch();
+                self.send_watch();
             }
             TakenPart::LeftAside => {}
         }
     }
 
-    fn ask_for_part(&mut self, place: Option<PartRequest>) {
-        if let Some(place) = place {
-            self.emit(Effect::SendControl(GatewayRequest::Part(place)));
+    fn request_part(&mut self, part_request: Option<PartRequest>) {
+        if let Some(part_request) = part_request {
+            self.emit(Effect::SendControl(GatewayRequest::Part(part_request)));
         }
     }
 
     /// What follows from a configuration at a higher index.
-    fn follow_configuration(&mut self, index: u64) {
-        self.backends.follow(&self.watched.configuration);
-        self.follow_quarantine();
-        self.follow_limits();
+    fn on_configuration_changed(&mut self, index: u64) {
+        self.backends.update(&self.watched.configuration);
+        self.update_quarantine();
+        self.update_limits();
         self.emit(Effect::PersistIndex(index));
     }
 
--- a/components/gateway/src/gateway/limits.rs
+++ b/components/gateway/src/gateway/limits.rs
@@ -5,7 +5,7 @@
 use garnet_limits::{Asking, PermitAnswer, PermitAsk, PermitOutcome, RequestRate};
 use garnet_types::{BackendId, Class, Millis, OutcomeCode, Refusal, RequestId};
 
-use crate::backends::Eligible;
+use crate::backends::BackendRef;
 use crate::call::Answer;
 use crate::effects::{Effect, KvSource};
 use crate::request::{Request, Stage};
@@ -14,20 +14,20 @@
 
 /// A request waits so long for the leader's answer: the way to another region and
 /// back.
-const PERMIT_PATIENCE: Millis = Millis(250);
+const PERMIT_TIMEOUT: Millis = Millis(250);
 /// Retry time of callers where the leader does not answer.
-const RETRY_WITHOUT_LEADER: Millis = Millis(1000);
+const PERMIT_TIMEOUT_RETRY_AFTER: Millis = Millis(1000);
 /// Permits that are asked for one after the other for one attempt: to read a prompt,
 /// and to generate.
-const MOST_PERMITS: u8 = 2;
+const MAX_PERMITS_PER_ATTEMPT: u8 = 2;
 /// Shortest time after which a caller may come again.
-const SHORTEST_RETRY: Millis = Millis(50);
+const MIN_RETRY_AFTER: Millis = Millis(50);
 
 /// A request that waits for the leader's answer to a question.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct AwaitedPermit {
-    number: u64,
-    pub(super) until: Millis,
+    ask_number: u64,
+    pub(super) timeout_at: Millis,
     /// The prompt as one engine read it.
     kv: Option<KvSource>,
 }
@@ -35,18 +35,18 @@
 impl Gateway {
     // ---- Reports of back ends ----
 
-    pub(crate) fn take_limit(
+    pub(crate) fn on_reported_limit(
         &mut self,
         id: RequestId,
         backend: &BackendId,
-        said: Option<RequestRate>,
+        reported: Option<RequestRate>,
     ) {
         let Some(request) = self.requests.get(&id) else {
             return;
         };
         let sent_at = request.dispatched_at;
         let start = self.incarnation_of(backend);
-        match said {
+        match reported {
             Some(rate) => {
                 self.limits.named(backend, start, rate, self.now);
             }
@@ -64,15 +64,15 @@
         }
     }
 
-    pub(super) fn take_limits(&mut self, told: &LimitUpdate) {
-        let over = self.limits.take_list(told.list(), self.now);
-        if !over.is_empty() {
+    pub(super) fn on_limit_update(&mut self, update: &LimitUpdate) {
+        let expired = self.limits.take_list(update.list(), self.now);
+        if !expired.is_empty() {
             self.serve_waiting();
         }
     }
 
     /// The configuration has changed.
-    pub(super) fn follow_limits(&mut self) {
+    pub(super) fn update_limits(&mut self) {
         let backends = &self.watched.configuration.backends;
         self.limits.keep(|id| backends.contains_key(id));
     }
@@ -86,12 +86,16 @@
 
     /// Of these back ends those that should get the next request, to refresh what is known of
     /// their limits; all where none should.
-    pub(crate) fn due_first<T>(&self, all: Vec<T>, id: impl Fn(&T) -> &BackendId) -> Vec<T> {
-        let is_due = |one: &T| self.limits.is_due(id(one), self.now);
-        if !all.iter().any(is_due) {
-            return all;
+    pub(crate) fn prefer_due<T>(
+        &self,
+        candidates: Vec<T>,
+        id: impl Fn(&T) -> &BackendId,
+    ) -> Vec<T> {
+        let is_due = |candidate: &T| self.limits.is_due(id(candidate), self.now);
+        if !candidates.iter().any(is_due) {
+            return candidates;
         }
-        all.into_iter().filter(is_due).collect()
+        candidates.into_iter().filter(is_due).collect()
     }
 
     /// Whether it takes what comes. A permit for one that has a limit is over before
@@ -102,135 +106,142 @@
 
     /// Asks the leader for a permit for a request that no back end may be sent as
     /// things stand. `false` where none of them has a limit: there is nobody.
-    pub(crate) fn wait_for_permit(&mut self, id: RequestId, kv: Option<KvSource>) -> bool {
+    pub(crate) fn request_permit(&mut self, id: RequestId, kv: Option<KvSource>) -> bool {
         if self.limits.is_empty() {
             return false;
         }
         let Some(request) = self.requests.get(&id) else {
             return false;
         };
-        let rank = match kv {
+        let priority = match kv {
             // Work was done for it.
             Some(_) => 0,
-            None => rank_of(request.verdict.class),
+            None => permit_priority(request.verdict.class),
         };
         let candidates: Vec<BackendId> = self
-            .lacking(request)
+            .backends_for_missing_phase(request)
             .into_iter()
-            .map(|one| one.id.clone())
+            .map(|candidate| candidate.id.clone())
             .collect();
-        let was_asked = request.permits_asked >= MOST_PERMITS;
-        match self.limits.ask(candidates.iter(), rank, self.now) {
+        let permits_used_up = request.permits_requested >= MAX_PERMITS_PER_ATTEMPT;
+        match self.limits.ask(candidates.iter(), priority, self.now) {
             Asking::Unlimited => return false,
-            Asking::Closed(retry_after) => self.refuse_limited(id, retry_after),
+            Asking::Closed(retry_after) => self.wait_or_refuse(id, retry_after),
             // Another request has used the permit.
-            Asking::Ask(_) if was_asked => self.refuse_limited(id, SHORTEST_RETRY),
+            Asking::Ask(_) if permits_used_up => self.wait_or_refuse(id, MIN_RETRY_AFTER),
             Asking::Ask(ask) => {
-                let until = self.now + PERMIT_PATIENCE;
-                let number = ask.number;
-                self.ask_leader(ask);
-                let awaited = AwaitedPermit { number, until, kv };
+                let timeout_at = self.now + PERMIT_TIMEOUT;
+                let ask_number = ask.number;
+                self.send_permit_request(ask);
+                let awaited = AwaitedPermit {
+                    ask_number,
+                    timeout_at,
+                    kv,
+                };
                 if let Some(request) = self.requests.get_mut(&id) {
-                    request.permits_asked += 1;
+                    request.permits_requested += 1;
                     request.stage = Stage::AwaitingPermit(awaited);
                 }
-                self.deadlines.insert((until, id));
+                self.timers.insert((timeout_at, id));
             }
         }
         true
     }
 
-    fn ask_leader(&mut self, ask: PermitAsk) {
+    fn send_permit_request(&mut self, ask: PermitAsk) {
         self.send_limit_reports();
         self.emit(Effect::SendControl(GatewayRequest::Permit(ask)));
     }
 
     /// Back ends that could do what nobody may be sent now of a request, whatever
     /// their limit: read its prompt, or else generate.
-    fn lacking(&self, request: &Request) -> Vec<Eligible<'_>> {
-        let mut could_take = self.could_take(request);
+    fn backends_for_missing_phase(&self, request: &Request) -> Vec<BackendRef<'_>> {
+        let mut capable_backends = self.capable_backends(request);
         if request.model().is_none() {
-            return could_take;
+            return capable_backends;
         }
-        let reads = |one: &Eligible<'_>| one.role.reads_prompts();
-        let mut open = could_take.iter().filter(|one| self.may_send(one.id));
-        let is_read = open.any(reads);
-        could_take.retain(|one| {
-            if is_read {
-                one.role.generates()
+        let can_prefill = |candidate: &BackendRef<'_>| candidate.role.reads_prompts();
+        let mut sendable = capable_backends
+            .iter()
+            .filter(|candidate| self.may_send(candidate.id));
+        let can_prefill_now = sendable.any(can_prefill);
+        capable_backends.retain(|candidate| {
+            if can_prefill_now {
+                candidate.role.generates()
             } else {
-                reads(one)
+                can_prefill(candidate)
             }
         });
-        could_take
+        capable_backends
     }
 
     /// Back ends that could do any part of a request, whatever their limit.
-    fn could_take(&self, request: &Request) -> Vec<Eligible<'_>> {
+    fn capable_backends(&self, request: &Request) -> Vec<BackendRef<'_>> {
         let configuration = &self.watched.configuration;
-        let (service, tried) = (&request.service, &request.tried);
+        let (service, failed_backends) = (&request.service, &request.failed_backends);
         match request.model() {
-            Some(model) => self
-                .backends
-                .engines(configuration, service, model, tried, self.now),
+            Some(model) => {
+                self.backends
+                    .engines(configuration, service, model, failed_backends, self.now)
+            }
             None => self
                 .backends
-                .instances(configuration, service, tried, self.now),
+                .instances(configuration, service, failed_backends, self.now),
         }
     }
 
     /// Each gateway asks for a permit with one of so many requests as there are
     /// gateways, whether it needs one or not: the end of a limit is noticed, also while
     /// other back ends have room.
-    pub(super) fn ask_for_spare_permit(&mut self, id: RequestId) {
+    pub(super) fn request_periodic_spare_permit(&mut self, id: RequestId) {
         if self.limits.is_empty() {
             return;
         }
-        self.arrived = self.arrived.wrapping_add(1);
-        let turn = self.arrived.wrapping_add(self.settings.seed);
-        if turn.is_multiple_of(self.gateways.max(1)) {
-            self.ask_for_any(id);
+        self.spare_permit_counter = self.spare_permit_counter.wrapping_add(1);
+        let sequence = self.spare_permit_counter.wrapping_add(self.settings.seed);
+        if sequence.is_multiple_of(self.gateway_count.max(1)) {
+            self.request_spare_permit(id);
         }
     }
 
     /// Asks for a permit that the next request may use.
-    pub(crate) fn ask_for_any(&mut self, id: RequestId) {
+    pub(crate) fn request_spare_permit(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id) else {
             return;
         };
-        let rank = rank_of(request.verdict.class);
-        let limited = self.could_take(request).into_iter();
-        let limited: Vec<BackendId> = limited
-            .filter(|one| !self.may_send(one.id))
-            .map(|one| one.id.clone())
+        let priority = permit_priority(request.verdict.class);
+        let limited_backends = self.capable_backends(request).into_iter();
+        let limited_backends: Vec<BackendId> = limited_backends
+            .filter(|candidate| !self.may_send(candidate.id))
+            .map(|candidate| candidate.id.clone())
             .collect();
-        let drawn = self.arrived as usize % limited.len().max(1);
-        let one = limited.get(drawn);
-        if let Asking::Ask(ask) = self.limits.ask(one.into_iter(), rank, self.now) {
-            self.ask_leader(ask);
+        let index = self.spare_permit_counter as usize % limited_backends.len().max(1);
+        let candidate = limited_backends.get(index);
+        if let Asking::Ask(ask) = self.limits.ask(candidate.into_iter(), priority, self.now) {
+            self.send_permit_request(ask);
         }
     }
 
-    pub(super) fn take_permit(&mut self, answer: &PermitAnswer) {
+    pub(super) fn on_permit_answer(&mut self, answer: &PermitAnswer) {
         self.limits.answered(answer, self.now);
-        let awaits = |request: &Request| match &request.stage {
-            Stage::AwaitingPermit(awaited) => awaited.number == answer.number,
+        let is_waiting_for_answer = |request: &Request| match &request.stage {
+            Stage::AwaitingPermit(awaited) => awaited.ask_number == answer.number,
             _ => false,
         };
         let mut requests = self.requests.iter();
-        let waiter = requests.find(|(_, request)| awaits(request));
-        let Some(id) = waiter.map(|(id, _)| *id) else {
+        let waiting_request = requests.find(|(_, request)| is_waiting_for_answer(request));
+        let Some(id) = waiting_request.map(|(id, _)| *id) else {
             // A spare one.
             self.serve_waiting();
             return;
         };
         match answer.outcome {
-            PermitOutcome::Granted { .. } => self.go_on_with_permit(id),
-            PermitOutcome::Refused { retry_after, .. } => self.refuse_limited(id, retry_after),
+            PermitOutcome::Granted { .. } => self.resume_with_permit(id),
+            PermitOutcome::Refused { retry_after, .. } => self.wait_or_refuse(id, retry_after),
         }
     }
 
-    fn go_on_with_permit(&mut self, id: RequestId) {
+    fn resume_with_permit(&mut self, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
@@ -243,7 +254,7 @@
             Stage::AwaitingPermit(AwaitedPermit { kv: Some(kv), .. }) => {
                 match self.choose_decode(id) {
                     Some(decode) => self.dispatch_generate(id, &decode, Some(kv)),
-                    None => self.try_elsewhere(id),
+                    None => self.retry_elsewhere(id),
                 }
             }
             _ if is_completion => self.route_completion(id),
@@ -252,13 +263,13 @@
     }
 
     /// The leader has not answered in time.
-    pub(super) fn pass_permit_patience(&mut self, id: RequestId) {
-        self.refuse_limited(id, RETRY_WITHOUT_LEADER);
+    pub(super) fn on_permit_timeout(&mut self, id: RequestId) {
+        self.wait_or_refuse(id, PERMIT_TIMEOUT_RETRY_AFTER);
     }
 
     /// Ends a request that can't be served within the limits: it waits where it may,
     /// else it is refused at once with a retry time.
-    fn refuse_limited(&mut self, id: RequestId, retry_after: Millis) {
+    fn wait_or_refuse(&mut self, id: RequestId, retry_after: Millis) {
         self.set_stage(id, Stage::Waiting);
         let Some(request) = self.requests.get(&id) else {
             return;
@@ -270,7 +281,7 @@
             return;
         }
         let message = "back ends take fewer requests than come";
-        let retry_after = retry_after.max(SHORTEST_RETRY);
+        let retry_after = retry_after.max(MIN_RETRY_AFTER);
         let refusal = Refusal::not_run(OutcomeCode::Overloaded, retry_after, message);
         if is_completion {
             self.end_without_answer(id, refusal);
@@ -284,7 +295,7 @@
     }
 }
 
-fn rank_of(class: Class) -> u8 {
+fn permit_priority(class: Class) -> u8 {
     match class {
         Class::Urgent => 0,
         Class::Interactive => 1,
--- a/components/gateway/src/gateway/mod.rs
+++ b/components/gateway/src/gateway/mod.rs
@@ -1,10 +1,10 @@
 //! The gateway's state and its entry points.
 
+mod answers;
 mod arrival;
 mod attempts;
 mod availability;
 mod control;
-mod ending;
 mod limits;
 mod quarantine;
 mod ticks;
@@ -22,7 +22,7 @@
 use rand_pcg::Pcg64Mcg;
 
 use crate::backends::Backends;
-use crate::configuration::Watched;
+use crate::configuration::WatchedConfiguration;
 use crate::effects::{AttemptId, Effect, Event};
 use crate::request::Request;
 use crate::settings::GatewaySettings;
@@ -33,11 +33,11 @@
 const SHORT_RETRY_AFTER: Millis = Millis::from_secs(1);
 /// Buckets of tenants are looked through for full ones each time that so many
 /// more are kept.
-const BUCKETS_STEP: usize = 8192;
+const BUCKET_CLEANUP_STEP: usize = 8192;
 /// A refused request that comes back within this time is no new demand.
 const RESEND_WINDOW: Millis = Millis::from_secs(60);
 /// Most refused requests that are remembered in one window.
-const MOST_REFUSED: usize = 16 * 1024;
+const MAX_REMEMBERED_REFUSALS: usize = 16 * 1024;
 
 /// What a gateway has counted since its start.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
@@ -66,31 +66,31 @@
 /// The state machine of one gateway.
 pub struct Gateway {
     pub(crate) settings: GatewaySettings,
-    pub(crate) watched: Watched,
+    pub(crate) watched: WatchedConfiguration,
     pub(crate) backends: Backends,
     pub(crate) requests: BTreeMap<RequestId, Request>,
     pub(crate) attempts: BTreeMap<AttemptId, (RequestId, BackendId)>,
     pub(crate) waiting: WaitingQueue<RequestId>,
     pub(crate) budgets: BTreeMap<ServiceId, RetryBudget>,
-    pub(crate) obligations: BTreeMap<ClaimId, (ClaimRequest, Millis)>,
+    pub(crate) unacknowledged_claims: BTreeMap<ClaimId, (ClaimRequest, Millis)>,
     pub(crate) random: Pcg64Mcg,
     pub(crate) counters: Counters,
     pub(crate) now: Millis,
     crash_log: CrashLog,
     limits: KnownLimits,
     /// Gateways, as the leader counts them.
-    gateways: u64,
+    gateway_count: u64,
     /// Requests that came so far.
-    arrived: u64,
-    deadlines: BTreeSet<(Millis, RequestId)>,
+    spare_permit_counter: u64,
+    timers: BTreeSet<(Millis, RequestId)>,
     buckets: BTreeMap<TenantId, TokenBucket>,
-    buckets_limit: usize,
+    bucket_cleanup_threshold: usize,
     offered: BTreeMap<Pool, PoolMix>,
     /// Requests that were refused with a time to come back.
-    refused: RecentSet,
+    recently_refused: RecentSet,
     effects: Vec<Effect>,
     next_attempt: u64,
-    watched_at: Option<Millis>,
+    watch_sent_at: Option<Millis>,
     draining: bool,
 }
 
@@ -98,28 +98,28 @@
     /// A gateway that knows no configuration yet.
     pub fn new(settings: GatewaySettings) -> Self {
         Gateway {
-            watched: Watched::new(settings.highest_index),
+            watched: WatchedConfiguration::new(settings.highest_index),
             waiting: WaitingQueue::new(settings.waiting_capacity),
             random: Pcg64Mcg::seed_from_u64(settings.seed),
             backends: Backends::default(),
             requests: BTreeMap::new(),
             attempts: BTreeMap::new(),
             budgets: BTreeMap::new(),
-            obligations: BTreeMap::new(),
+            unacknowledged_claims: BTreeMap::new(),
             counters: Counters::default(),
             now: Millis::ZERO,
             crash_log: CrashLog::default(),
             limits: KnownLimits::default(),
-            gateways: 1,
-            arrived: 0,
-            deadlines: BTreeSet::new(),
+            gateway_count: 1,
+            spare_permit_counter: 0,
+            timers: BTreeSet::new(),
             buckets: BTreeMap::new(),
-            buckets_limit: BUCKETS_STEP,
+            bucket_cleanup_threshold: BUCKET_CLEANUP_STEP,
             offered: BTreeMap::new(),
-            refused: RecentSet::new(RESEND_WINDOW, MOST_REFUSED),
+            recently_refused: RecentSet::new(RESEND_WINDOW, MAX_REMEMBERED_REFUSALS),
             effects: Vec::new(),
             next_attempt: 0,
-            watched_at: None,
+            watch_sent_at: None,
             draining: false,
             settings,
         }
@@ -130,8 +130,8 @@
         self.now = self.now.max(now);
         match event {
             Event::Tick => self.tick(),
-            Event::Call(call) => self.begin(call),
-            Event::CallerGone(request) => self.caller_gone(request),
+            Event::Call(call) => self.on_call(call),
+            Event::CallerDisconnected(request) => self.on_caller_disconnected(request),
             Event::Attempt(attempt, event) => self.handle_attempt(attempt, event),
             Event::Control(reply) => self.handle_control(reply),
             Event::Load(backend, report) => {
@@ -141,7 +141,7 @@
                 }
                 self.backends.observe(&backend, &report, self.now);
                 if let Some(record) = self.watched.configuration.backends.get(&backend) {
-                    self.backends.follow_start(record);
+                    self.backends.update_start(record);
                 }
                 self.counters.cache_event_gaps = self.backends.prefixes.gaps;
                 self.serve_waiting();
@@ -181,7 +181,7 @@
     /// Whether a planned stop may end the process: every request has its
     /// answer and every result is recorded.
     pub fn is_drained(&self) -> bool {
-        self.draining && self.requests.is_empty() && self.obligations.is_empty()
+        self.draining && self.requests.is_empty() && self.unacknowledged_claims.is_empty()
     }
 
     /// Requests without a final answer, and results that are being recorded.
--- a/components/gateway/src/gateway/quarantine.rs
+++ b/components/gateway/src/gateway/quarantine.rs
@@ -5,21 +5,21 @@
 use garnet_quarantine::{EngineStart, RequestFingerprint, Standing, Suspects, own_backend};
 use garnet_types::{BackendId, Millis, OutcomeCode, Refusal, RequestId};
 
-use crate::backends::Eligible;
+use crate::backends::BackendRef;
 use crate::effects::Effect;
 use crate::request::Request;
 
 use super::Gateway;
 
 /// A leader that was not heard for so long may be another one since.
-const LEADER_MAY_HAVE_CHANGED: Millis = Millis(1000);
+const LEADER_SILENCE_LIMIT: Millis = Millis(1000);
 /// What a caller is told to wait that comes with a refused request, before the
 /// configuration says until when it is refused.
-const UNTIL_LOGGED: Millis = Millis::from_secs(60);
+const UNCONFIRMED_QUARANTINE_RETRY_AFTER: Millis = Millis::from_secs(60);
 
 impl Gateway {
     /// Tells the leader of runs that ended with their engine.
-    pub(super) fn tell_runs(&mut self) {
+    pub(super) fn send_run_report(&mut self) {
         if let Some(report) = self.crash_log.report(self.now) {
             self.emit(Effect::SendControl(GatewayRequest::Runs(report)));
         }
@@ -27,31 +27,31 @@
 
     /// A replica said that it does not lead, or is heard after a pause: what
     /// was told may be told to another one.
-    pub(super) fn note_leader(&mut self, heard_after: Millis) {
-        if heard_after >= LEADER_MAY_HAVE_CHANGED {
+    pub(super) fn on_leader_contact(&mut self, silence: Millis) {
+        if silence >= LEADER_SILENCE_LIMIT {
             self.crash_log.tell_anew();
             self.limits.connected();
         }
     }
 
-    pub(super) fn runs_noted(&mut self, through: u64) {
+    pub(super) fn on_runs_acknowledged(&mut self, through: u64) {
         self.crash_log.confirmed(through);
     }
 
     /// The configuration has changed.
-    pub(super) fn follow_quarantine(&mut self) {
+    pub(super) fn update_quarantine(&mut self) {
         let quarantined = self.watched.configuration.quarantine.keys().copied();
         self.crash_log.follow(quarantined);
     }
 
-    pub(super) fn take_suspects(&mut self, suspects: Option<Suspects>) {
+    pub(super) fn update_suspects(&mut self, suspects: Option<Suspects>) {
         if let Some(suspects) = suspects {
             self.crash_log.take(suspects);
         }
     }
 
     /// The connection to a back end ended before its answer did.
-    pub(crate) fn run_crashed(&mut self, id: RequestId, backend: &BackendId) {
+    pub(crate) fn record_crash(&mut self, id: RequestId, backend: &BackendId) {
         let Some(request) = self.requests.get(&id) else {
             return;
         };
@@ -62,23 +62,21 @@
         };
         self.crash_log.crashed(fingerprint, engine, self.now);
         // Until the leader knows, more engines may end.
-        self.tell_runs();
+        self.send_run_report();
     }
 
     /// The start of a back end that is known, as it told last.
     pub(super) fn incarnation_of(&self, backend: &BackendId) -> u64 {
-        let told = self
-            .backends
-            .known(backend)
-            .map(|belief| belief.incarnation);
+        let reported = self.backends.view_of(backend).map(|view| view.incarnation);
         let record = self.watched.configuration.backends.get(backend);
-        told.max(record.map(BackendRecord::start))
+        reported
+            .max(record.map(BackendRecord::start))
             .unwrap_or_default()
     }
 
     /// A run came to its proper end.
-    pub(crate) fn run_completed(&mut self, id: RequestId) {
-        if self.suspects_nobody() {
+    pub(crate) fn record_completed_run(&mut self, id: RequestId) {
+        if self.has_no_suspects() {
             return;
         }
         if let Some(request) = self.requests.get(&id) {
@@ -86,12 +84,12 @@
         }
     }
 
-    fn suspects_nobody(&self) -> bool {
+    fn has_no_suspects(&self) -> bool {
         self.crash_log.is_empty() && self.watched.configuration.quarantine.is_empty()
     }
 
     fn standing(&self, request: &Request) -> Standing {
-        if self.suspects_nobody() {
+        if self.has_no_suspects() {
             return Standing::Clear;
         }
         let fingerprint = request.fingerprint();
@@ -111,7 +109,7 @@
             return false;
         }
         let message = "engines ended under this request";
-        let retry_after = self.refused_for(request.fingerprint());
+        let retry_after = self.quarantine_retry_after(request.fingerprint());
         let refusal = Refusal::not_run(OutcomeCode::Quarantined, retry_after, message);
         self.end_without_answer(id, refusal);
         true
@@ -119,33 +117,41 @@
 
     /// Whether a request whose run broke off has probably ended an engine, and
     /// another one before: this attempt ends no more of them.
-    pub(crate) fn has_ended_enough(&self, id: RequestId) -> bool {
+    pub(crate) fn is_suspected(&self, id: RequestId) -> bool {
         let request = self.requests.get(&id);
         request.is_some_and(|request| self.standing(request) == Standing::Suspected)
     }
 
-    fn refused_for(&self, fingerprint: RequestFingerprint) -> Millis {
+    fn quarantine_retry_after(&self, fingerprint: RequestFingerprint) -> Millis {
         let quarantine = &self.watched.configuration.quarantine;
         let record = quarantine.get(&fingerprint);
-        record.map_or(UNTIL_LOGGED, |record| record.until.since(self.now))
+        record.map_or(UNCONFIRMED_QUARANTINE_RETRY_AFTER, |record| {
+            record.until.since(self.now)
+        })
     }
 
     /// Of back ends that may take a request, those that it may go to: a
     /// suspected one generates at its own only.
-    pub(crate) fn keep_apart<'a>(
+    pub(crate) fn restrict_suspected<'a>(
         &self,
         request: &Request,
-        backends: Vec<Eligible<'a>>,
-    ) -> Vec<Eligible<'a>> {
+        backends: Vec<BackendRef<'a>>,
+    ) -> Vec<BackendRef<'a>> {
         if self.standing(request) != Standing::Suspected {
             return backends;
         }
-        let generate = backends.iter().filter(|one| one.role.generates());
-        let Some(own) = own_backend(request.fingerprint(), generate.map(|one| one.id)).cloned()
-        else {
+        let decode_backends = backends
+            .iter()
+            .filter(|candidate| candidate.role.generates());
+        let Some(own_engine) = own_backend(
+            request.fingerprint(),
+            decode_backends.map(|candidate| candidate.id),
+        )
+        .cloned() else {
             return backends;
         };
-        let may_go = |one: &Eligible<'a>| !one.role.generates() || *one.id == own;
-        backends.into_iter().filter(may_go).collect()
+        let is_allowed =
+            |candidate: &BackendRef<'a>| !candidate.role.generates() || *candidate.id == own_engine;
+        backends.into_iter().filter(is_allowed).collect()
     }
 }
--- a/components/gateway/src/gateway/ticks.rs
+++ b/components/gateway/src/gateway/ticks.rs
@@ -9,13 +9,13 @@
 
 impl Gateway {
     pub(super) fn tick(&mut self) {
-        self.pass_deadlines();
+        self.run_due_timers();
         self.serve_waiting();
         self.resend_claims();
-        self.break_stalled();
+        self.abort_stalled();
         let interval = self.settings.watch_interval;
-        if self.watch_elapsed() >= interval {
-            self.watch();
+        if self.time_since_watch() >= interval {
+            self.send_watch();
         }
         let load_interval = self.settings.load_interval;
         let due = self
@@ -26,17 +26,17 @@
         }
     }
 
-    pub(super) fn pass_deadlines(&mut self) {
-        while let Some((due, id)) = self.deadlines.first().copied() {
+    pub(super) fn run_due_timers(&mut self) {
+        while let Some((due, id)) = self.timers.first().copied() {
             if due > self.now {
                 return;
             }
-            self.deadlines.pop_first();
-            self.pass_deadline(id);
+            self.timers.pop_first();
+            self.on_timer(id);
         }
     }
 
-    pub(super) fn pass_deadline(&mut self, id: RequestId) {
+    pub(super) fn on_timer(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id) else {
             return;
         };
@@ -48,15 +48,15 @@
         }
         if self.now < request.deadline {
             if let Stage::AwaitingPermit(awaited) = &request.stage
-                && awaited.until <= self.now
+                && awaited.timeout_at <= self.now
             {
-                self.pass_permit_patience(id);
+                self.on_permit_timeout(id);
             }
             return;
         }
         if request.claim.is_some() && request.attempt().is_some() {
             let message = "the deadline passed while the request ran; resend it with its key";
-            self.answer_and_go_on(id, Refusal::in_doubt(SHORT_RETRY_AFTER, message));
+            self.answer_and_keep_running(id, Refusal::in_doubt(SHORT_RETRY_AFTER, message));
             return;
         }
         let refusal = deadline_refusal(request);
--- a/components/gateway/src/lib.rs
+++ b/components/gateway/src/lib.rs
@@ -9,7 +9,7 @@
 mod backends;
 mod body_hash;
 mod call;
-mod claiming;
+mod claims;
 mod completion;
 mod configuration;
 mod effects;
--- a/components/gateway/src/request.rs
+++ b/components/gateway/src/request.rs
@@ -33,7 +33,7 @@
 pub(crate) struct Request {
     pub(crate) call: Call,
     pub(crate) stage: Stage,
-    pub(crate) arrived: Millis,
+    pub(crate) arrived_at: Millis,
     pub(crate) deadline: Millis,
     pub(crate) tenant: TenantId,
     pub(crate) service: ServiceId,
@@ -43,11 +43,11 @@
     pub(crate) prompt_tokens: u64,
     pub(crate) prompt_blocks: Vec<u64>,
     /// Back ends that this request failed at.
-    pub(crate) tried: Vec<BackendId>,
+    pub(crate) failed_backends: Vec<BackendId>,
     /// Whether an engine has read its prompt for another one.
-    pub(crate) prompt_read: bool,
+    pub(crate) is_prefilled: bool,
     /// KV cache of its prompt that no engine has imported.
-    pub(crate) cache: Option<KvSource>,
+    pub(crate) kv_cache: Option<KvSource>,
     /// Whether any back end may have begun it.
     pub(crate) may_have_run: bool,
     /// The same, before the attempt that is under way.
@@ -56,7 +56,7 @@
     pub(crate) answered: bool,
     pub(crate) resumed: u32,
     /// Permits that were asked for since its last attempt.
-    pub(crate) permits_asked: u8,
+    pub(crate) permits_requested: u8,
     /// When its attempt began.
     pub(crate) dispatched_at: Millis,
     /// When its attempt began or last gave tokens.
@@ -121,7 +121,7 @@
     }
 
     /// Tokens that are still to be generated.
-    pub(crate) fn missing_tokens(&self) -> u64 {
+    pub(crate) fn remaining_tokens(&self) -> u64 {
         self.max_tokens()
             .saturating_sub(self.delivered.len() as u64)
     }
@@ -142,21 +142,21 @@
 
     /// From its dispatch on, a request counts as begun until the back end says
     /// otherwise.
-    pub(crate) fn note_dispatch(&mut self, now: Millis) {
-        self.note_prefill_dispatch(now);
+    pub(crate) fn record_dispatch(&mut self, now: Millis) {
+        self.record_prefill_dispatch(now);
         self.may_have_run = true;
     }
 
     /// A prefill generates nothing: the request has not run by it.
-    pub(crate) fn note_prefill_dispatch(&mut self, now: Millis) {
+    pub(crate) fn record_prefill_dispatch(&mut self, now: Millis) {
         self.progress_at = now;
         self.dispatched_at = now;
-        self.permits_asked = 0;
+        self.permits_requested = 0;
         self.may_have_run_before = self.may_have_run;
     }
 
     /// The back end of the latest dispatch provably did not begin it.
-    pub(crate) fn note_unstarted(&mut self) {
+    pub(crate) fn record_not_started(&mut self) {
         self.may_have_run = self.may_have_run_before;
     }
 
--- a/components/gateway/src/settings.rs
+++ b/components/gateway/src/settings.rs
@@ -20,7 +20,7 @@
     /// How often each engine is asked for its load.
     pub load_interval: Millis,
     /// How long an unanswered message about a claim waits until it is sent again.
-    pub claim_resend: Millis,
+    pub claim_resend_interval: Millis,
     /// Most requests that wait for room.
     pub waiting_capacity: usize,
     /// Most requests at one application instance at once.
@@ -39,7 +39,7 @@
             highest_index: 0,
             watch_interval: Millis(400),
             load_interval: Millis(250),
-            claim_resend: Millis(500),
+            claim_resend_interval: Millis(500),
             waiting_capacity: 1024,
             application_concurrency: 64,
             admission: AdmissionSettings::default(),
--- a/components/gateway/tests/core/availability.rs
+++ b/components/gateway/tests/core/availability.rs
@@ -45,7 +45,9 @@
         let dispatched = harness.dispatch();
         used.push(dispatched.backend);
         harness.tokens(dispatched.attempt, 0, &["a "]);
-        harness.event(Event::CallerGone(garnet_types::RequestId(first + number)));
+        harness.event(Event::CallerDisconnected(garnet_types::RequestId(
+            first + number,
+        )));
         harness.dispatches();
     }
     used
--- a/components/simulator/src/world/gateways.rs
+++ b/components/simulator/src/world/gateways.rs
@@ -146,7 +146,7 @@
             self.gateways[place].open_calls.remove(&request);
             let at = self.now + Millis(1000);
             self.send_at(at, host, Host::Callers, Message::Disconnected(request));
-            self.gateway_event(place, GatewayEvent::CallerGone(request));
+            self.gateway_event(place, GatewayEvent::CallerDisconnected(request));
             return;
         }
         self.send(host, Host::Callers, message);
