--- a/components/gateway/src/gateway/limits.rs
+++ b/components/gateway/src/gateway/limits.rs
@@ -131,7 +131,9 @@
             PermitLookup::Unlimited => return false,
             PermitLookup::Exhausted(retry_after) => self.wait_or_refuse(id, retry_after),
             // Another request has used the permit.
-            PermitLookup::AskLeader(_) if permits_used_up => self.wait_or_refuse(id, MIN_RETRY_AFTER),
+            PermitLookup::AskLeader(_) if permits_used_up => {
+                self.wait_or_refuse(id, MIN_RETRY_AFTER)
+            }
             PermitLookup::AskLeader(ask) => {
                 let timeout_at = self.now + PERMIT_TIMEOUT;
                 let ask_number = ask.number;
@@ -221,7 +223,8 @@
         let index = self.spare_permit_counter as usize % limited_backends.len().max(1);
         let candidate = limited_backends.get(index);
         if let PermitLookup::AskLeader(ask) =
-            self.limits.request_permit(candidate.into_iter(), priority, self.now)
+            self.limits
+                .request_permit(candidate.into_iter(), priority, self.now)
         {
             self.send_permit_request(ask);
         }
--- a/components/gateway/src/gateway/quarantine.rs
+++ b/components/gateway/src/gateway/quarantine.rs
@@ -145,8 +145,7 @@
         let decode_backends = backends
             .iter()
             .filter(|candidate| candidate.role.generates());
-        let Some(own_engine) =
-            isolation_backend(
+        let Some(own_engine) = isolation_backend(
             request.fingerprint(),
             decode_backends.map(|candidate| candidate.id),
         )
