--- a/components/control-shell/src/metrics.rs
+++ b/components/control-shell/src/metrics.rs
@@ -196,7 +196,8 @@
         let tenure = replica.state().tenures.present();
         let token = tenure.map_or(0, |tenure| tenure.token);
         self.duty_token.set(gauge_value(token));
-        self.looked_at.set(gauge_value(replica.looked_at()));
+        self.looked_at
+            .set(gauge_value(replica.inspected_backends()));
         let backends = replica.state().configuration.backends.len();
         self.backends.set(gauge_value(backends as u64));
         let limited = replica.limited_backends();
--- a/components/control/src/encoding/log.rs
+++ b/components/control/src/encoding/log.rs
@@ -1,11 +1,11 @@
-//! Which versions the entries of one log are of.
+//! Tracks the encoding versions of the entries of one log.
 
 use std::collections::BTreeSet;
 
 use garnet_types::EncodingVersion;
 use serde::{Deserialize, Serialize};
 
-use super::{EntryError, LARGEST_OPTION_TAG, decoded, v11, v12};
+use super::{EntryError, MAX_OPTION_TAG, decoded, v11, v12};
 use crate::command::CommandEnvelope;
 
 /// A decoded entry.
@@ -13,16 +13,17 @@
 pub struct DecodedEntry {
     /// The command.
     pub envelope: CommandEnvelope,
-    /// The version that it was written in; the oldest one where several read it alike.
+    /// The version in which the entry was written; the oldest one if several versions
+    /// decode it to the same command.
     pub version: EncodingVersion,
 }
 
-/// Which versions the entries of a log are of. It is part of the replicated state.
+/// The encoding versions of a log's entries. This is part of the replicated state.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LogEncoding {
-    /// Versions that can have written the entries without a version.
+    /// Versions that may have written the entries that carry no version.
     unversioned: BTreeSet<EncodingVersion>,
-    /// Highest version of any entry that carries one.
+    /// Highest version of any entry that carries its version.
     level: Option<EncodingVersion>,
 }
 
@@ -43,7 +44,7 @@
 ];
 
 impl LogEncoding {
-    /// A log whose entries without a version are of this one.
+    /// A log whose entries without a version are of the given version.
     pub(crate) fn unversioned(version: EncodingVersion) -> Self {
         LogEncoding {
             unversioned: [version].into(),
@@ -51,8 +52,8 @@
         }
     }
 
-    /// The level: the version that each member of the group can read. `None` while the
-    /// log does not show it.
+    /// The level: the encoding version that each member of the group can read. `None` while
+    /// the log does not show it.
     pub fn level(&self) -> Option<EncodingVersion> {
         let only = self
             .unversioned
@@ -61,23 +62,23 @@
         self.level.or(only.copied())
     }
 
-    /// Decodes an entry, and learns from it which version entries without one are of.
+    /// Decodes an entry, and narrows down which version the entries without one are of.
     ///
     /// # Errors
-    /// When it can't be decoded: the log must not be applied any further.
+    /// When the entry can't be decoded: the log must not be applied any further.
     pub fn decode(&mut self, bytes: &[u8]) -> Result<DecodedEntry, EntryError> {
-        self.decode_by(EncodingVersion::CURRENT, bytes)
+        self.decode_up_to(EncodingVersion::CURRENT, bytes)
     }
 
-    /// The same by a replica that knows versions up to `known`.
-    pub(crate) fn decode_by(
+    /// Decodes an entry as a replica that supports versions up to `supported` does.
+    pub(crate) fn decode_up_to(
         &mut self,
-        known: EncodingVersion,
+        supported: EncodingVersion,
         bytes: &[u8],
     ) -> Result<DecodedEntry, EntryError> {
         match bytes.first() {
-            Some(&first) if first > LARGEST_OPTION_TAG => {
-                self.decode_versioned(known, first, bytes)
+            Some(&first) if first > MAX_OPTION_TAG => {
+                self.decode_versioned(supported, first, bytes)
             }
             _ => self.decode_unversioned(bytes),
         }
@@ -85,14 +86,14 @@
 
     fn decode_versioned(
         &mut self,
-        known: EncodingVersion,
+        supported: EncodingVersion,
         first: u8,
         bytes: &[u8],
     ) -> Result<DecodedEntry, EntryError> {
         let version = EncodingVersion(u32::from(first));
-        if version < EncodingVersion::V17 || version > known {
+        if version < EncodingVersion::V17 || version > supported {
             let found = version;
-            return Err(EntryError::UnknownVersion { found, known });
+            return Err(EntryError::UnknownVersion { found, supported });
         }
         let envelope =
             decoded(&bytes[1..]).map_err(|cause| EntryError::Malformed { version, cause })?;
@@ -107,7 +108,7 @@
                 .map_err(|cause| EntryError::Malformed { version, cause })?;
             return Ok(DecodedEntry { envelope, version });
         }
-        let readings: Vec<DecodedEntry> = self
+        let candidates: Vec<DecodedEntry> = self
             .unversioned
             .iter()
             .filter_map(|version| {
@@ -116,19 +117,22 @@
                 Some(DecodedEntry { envelope, version })
             })
             .collect();
-        let first = readings.first().ok_or(EntryError::UnknownEncoding)?;
-        let agree = readings
+        let first = candidates.first().ok_or(EntryError::UnknownEncoding)?;
+        let all_equal = candidates
             .iter()
             .all(|other| other.envelope == first.envelope);
-        if !agree {
+        if !all_equal {
             return Err(EntryError::Ambiguous);
         }
-        self.unversioned = readings.iter().map(|reading| reading.version).collect();
+        self.unversioned = candidates
+            .iter()
+            .map(|candidate| candidate.version)
+            .collect();
         Ok(first.clone())
     }
 }
 
-/// An entry without a version, read in one.
+/// Decodes an entry without a version as one of `version`.
 fn decode_in(version: EncodingVersion, bytes: &[u8]) -> Result<CommandEnvelope, String> {
     match version {
         EncodingVersion::V11 => decoded::<v11::CommandEnvelope>(bytes).map(Into::into),
--- a/components/control/src/encoding/mod.rs
+++ b/components/control/src/encoding/mod.rs
@@ -1,13 +1,13 @@
 //! Encodings of log entries, of this build and of earlier ones.
 //!
-//! Contract: an entry is decoded in the version that it was written in, whatever the
-//! present one is, and by the rules of that version it is applied. Entries of
+//! Contract: an entry is decoded in the version in which it was written, whatever the
+//! current version is, and it is applied by the rules of that version. Entries of
 //! [`EncodingVersion::V17`] and later begin with their version. Earlier ones carry none:
-//! which version they are of is known from the snapshot before them, or shown by the
-//! first entry that only one version can have written. An entry that can't be decoded is
-//! an error, never left out: a state without it is not the group's state.
+//! their version is known from the preceding snapshot, or is determined by the first entry
+//! that only one version can have written. An entry that can't be decoded is an error and
+//! is never skipped: a state without it is not the group's state.
 //!
-//! The rest of the code knows the present types only; conversions stand here.
+//! The rest of the code uses the current types only; all conversions are in this module.
 
 mod log;
 pub mod v11;
@@ -23,24 +23,24 @@
 
 pub use log::{DecodedEntry, LogEncoding};
 
-/// The first byte of an entry without a version is the tag of an option.
-const LARGEST_OPTION_TAG: u8 = 1;
+/// An entry without a version begins with the tag of an `Option`, which is at most this.
+const MAX_OPTION_TAG: u8 = 1;
 
 /// Why a log entry can't be decoded.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
 pub enum EntryError {
-    /// the entry has encoding version {found}, this build knows {known} and earlier ones
+    /// the entry has encoding version {found}, this build supports {supported} and earlier ones
     UnknownVersion {
         /// Version of the entry.
         found: EncodingVersion,
-        /// Version of this build.
-        known: EncodingVersion,
+        /// The highest version that the decoder supports.
+        supported: EncodingVersion,
     },
     /// the entry can't be decoded in encoding version {version}: {cause}
     Malformed {
-        /// The version that the entry must be of.
+        /// The version in which the entry must have been written.
         version: EncodingVersion,
-        /// What the decoder reports.
+        /// The decoder's message.
         cause: String,
     },
     /// the entry carries no version, and no version without one can have written it
@@ -52,17 +52,17 @@
 /// {item} can't be expressed in encoding version {version}
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display, Error)]
 pub struct NotInVersion {
-    /// What the version has no place for.
+    /// The item that the version can't express.
     pub item: &'static str,
-    /// The version.
+    /// The encoding version.
     pub version: EncodingVersion,
 }
 
-/// A command as a log entry of `version`, which is one that is still written: 11, 16, or
-/// the present one.
+/// Encodes a command as a log entry of `version`, which must be a version that is still
+/// written: 11, 16, or the current one.
 ///
 /// # Errors
-/// When the version has no place for it.
+/// When the version can't express the command.
 pub fn encode_entry(
     envelope: &CommandEnvelope,
     version: EncodingVersion,
@@ -79,12 +79,13 @@
     Ok(encoded(&v11::CommandEnvelope::try_from(envelope)?))
 }
 
-/// Versions from [`EncodingVersion::V17`] to 250 take one byte.
+/// The byte for a version, which is the version itself from [`EncodingVersion::V17`] to
+/// 250.
 fn version_byte(version: EncodingVersion) -> u8 {
     u8::try_from(version.0).unwrap_or(u8::MAX)
 }
 
-/// Raising the level has no place in a version before levels.
+/// Fails for a raise of the level, which versions before 17 do not have.
 fn check_v16(envelope: &CommandEnvelope) -> Result<(), NotInVersion> {
     match envelope.command {
         Command::RaiseLevel(_) => Err(NotInVersion {
@@ -95,19 +96,19 @@
     }
 }
 
-/// Plain data as bytes.
+/// Encodes plain data.
 pub(crate) fn encoded<T: Serialize>(value: &T) -> Vec<u8> {
-    // Encoding plain data into memory has no way to fail.
+    // Encoding plain data into memory can't fail.
     bincode::serde::encode_to_vec(value, bincode::config::standard()).unwrap_or_default()
 }
 
-/// Plain data from exactly these bytes.
+/// Decodes plain data, which must take up all of the bytes.
 pub(crate) fn decoded<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, String> {
-    let (value, read) = bincode::serde::decode_from_slice(bytes, bincode::config::standard())
+    let (value, consumed) = bincode::serde::decode_from_slice(bytes, bincode::config::standard())
         .map_err(|error| error.to_string())?;
-    if read == bytes.len() {
+    if consumed == bytes.len() {
         Ok(value)
     } else {
-        Err(format!("{} bytes are left over", bytes.len() - read))
+        Err(format!("{} bytes are left over", bytes.len() - consumed))
     }
 }
--- a/components/control/src/encoding/v11/command.rs
+++ b/components/control/src/encoding/v11/command.rs
@@ -1,4 +1,4 @@
-//! Commands of the log.
+//! Commands in log entries.
 
 use std::sync::Arc;
 
--- a/components/control/src/encoding/v11/configuration.rs
+++ b/components/control/src/encoding/v11/configuration.rs
@@ -146,7 +146,7 @@
     }
 }
 
-/// Also that of versions 12 to 15.
+/// The registration of a back end in versions 11 to 15.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub(crate) struct BackendRegistration {
     id: BackendId,
@@ -157,7 +157,8 @@
 }
 
 impl From<&PresentRegistration> for BackendRegistration {
-    /// The start is left out. What knows no start takes each one for the same.
+    /// Drops the start. A process without starts takes all starts of a back end for the
+    /// same.
     fn from(registration: &PresentRegistration) -> Self {
         BackendRegistration {
             id: registration.id.clone(),
@@ -182,7 +183,7 @@
     }
 }
 
-/// Also that of versions 12 to 15.
+/// The record of a back end in versions 11 to 15.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub(crate) struct BackendRecord {
     registration: BackendRegistration,
@@ -231,7 +232,7 @@
 impl TryFrom<&PresentConfiguration> for Configuration {
     type Error = NotInVersion;
 
-    /// Requests in quarantine are left out: version 11 refuses none.
+    /// Drops the quarantine: version 11 has none.
     fn try_from(configuration: &PresentConfiguration) -> Result<Self, NotInVersion> {
         let routes = configuration.routes.as_deref().map(RouteTable::try_from);
         let record = |(id, record): (&BackendId, &PresentRecord)| (id.clone(), record.into());
@@ -271,7 +272,7 @@
 }
 
 impl ConfigurationChange {
-    /// The change, or `None` where version 11 does without it.
+    /// Converts a change; `None` if version 11 does not need it.
     pub(super) fn of(change: &PresentChange) -> Result<Option<Self>, NotInVersion> {
         let change = match change.clone() {
             PresentChange::SessionCreated(session) => ConfigurationChange::SessionCreated(session),
--- a/components/control/src/encoding/v11/messages.rs
+++ b/components/control/src/encoding/v11/messages.rs
@@ -1,4 +1,4 @@
-//! What gateways and the leader send each other.
+//! Messages between gateways and the leader.
 
 use garnet_types::{GatewayId, Millis};
 use serde::{Deserialize, Serialize};
@@ -17,7 +17,7 @@
 };
 use crate::shared::Shared;
 
-/// From a gateway to a replica.
+/// A message from a gateway to a replica.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[expect(missing_docs, reason = "the present type documents the fields")]
 pub enum GatewayRequest {
@@ -35,7 +35,7 @@
 }
 
 impl GatewayRequest {
-    /// The request, or `None` where version 11 has no such request.
+    /// Converts a request; `None` if version 11 has no such request.
     pub fn of(request: PresentRequest) -> Option<Self> {
         match request {
             PresentRequest::Watch {
@@ -106,7 +106,7 @@
 }
 
 impl WatchUpdate {
-    /// The update, or `None` where version 11 has no such update.
+    /// Converts an update; `None` if version 11 has no such update.
     fn of(update: &PresentUpdate) -> Result<Option<Self>, NotInVersion> {
         let update = match update {
             PresentUpdate::Current => WatchUpdate::Current,
@@ -115,7 +115,7 @@
                 to: *to,
                 changes: changes_of(changes)?,
             },
-            PresentUpdate::Snapshot(whole) => WatchUpdate::Snapshot((&**whole).try_into()?),
+            PresentUpdate::Snapshot(snapshot) => WatchUpdate::Snapshot((&**snapshot).try_into()?),
             PresentUpdate::Parts { .. } | PresentUpdate::UnderWay => return Ok(None),
         };
         Ok(Some(update))
@@ -147,16 +147,16 @@
                     changes: Shared::from(changes),
                 }
             }
-            WatchUpdate::Snapshot(whole) => PresentUpdate::Snapshot(shared(whole)),
+            WatchUpdate::Snapshot(snapshot) => PresentUpdate::Snapshot(shared(snapshot)),
         }
     }
 }
 
-fn shared(whole: Configuration) -> Shared<PresentConfiguration> {
-    Shared::from(PresentConfiguration::from(whole))
+fn shared(snapshot: Configuration) -> Shared<PresentConfiguration> {
+    Shared::from(PresentConfiguration::from(snapshot))
 }
 
-/// From a replica to a gateway.
+/// A message from a replica to a gateway.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ControlReply(Reply);
 
@@ -181,10 +181,10 @@
 }
 
 impl ControlReply {
-    /// The reply, or `None` where version 11 has no such reply.
+    /// Converts a reply; `None` if version 11 has no such reply.
     ///
     /// # Errors
-    /// When it holds a configuration that version 11 can't follow.
+    /// When it holds a configuration that version 11 can't express.
     pub fn of(reply: &PresentReply) -> Result<Option<Self>, NotInVersion> {
         let reply = match reply {
             PresentReply::Watch {
@@ -213,7 +213,7 @@
                 answer: answer.clone(),
             },
             PresentReply::NotLeader { leader, last_known } => {
-                let last_known = last_known.as_ref().map(|whole| (&**whole).try_into());
+                let last_known = last_known.as_ref().map(|snapshot| (&**snapshot).try_into());
                 Reply::NotLeader {
                     leader: leader.clone(),
                     last_known: last_known.transpose()?,
--- a/components/control/src/encoding/v11/mod.rs
+++ b/components/control/src/encoding/v11/mod.rs
@@ -1,9 +1,9 @@
-//! Encoding version 11: types as that version encodes them, and conversions from and to
-//! the present ones. What has not changed since is used as it is; recorded bytes show
-//! that it has not.
+//! Encoding version 11: its types, and conversions from and to the current ones. Types that
+//! have not changed since are used directly; tests with recorded bytes check that they have
+//! not.
 //!
-//! It knows no keys of tenants, no buying of engines, no starts of applications, no
-//! quarantine, no limits, no usage and no parts of a configuration.
+//! Version 11 has no tenant keys, no buying of engines, no starts of applications, no
+//! quarantine, no limits, no usage and no configurations sent in parts.
 
 mod command;
 mod configuration;
--- a/components/control/src/encoding/v11/state.rs
+++ b/components/control/src/encoding/v11/state.rs
@@ -1,4 +1,4 @@
-//! The replicated state, as snapshots of format 2 hold it.
+//! The replicated state in snapshots of format 2.
 
 use std::collections::{BTreeMap, VecDeque};
 
--- a/components/control/src/encoding/v12.rs
+++ b/components/control/src/encoding/v12.rs
@@ -17,12 +17,12 @@
     Session,
 };
 
-/// Number of [`Command::PutBackend`].
+/// Variant index of [`Command::PutBackend`].
 const PUT_BACKEND: u32 = 5;
-/// Number of [`Command::NoteMachines`].
+/// Variant index of [`Command::NoteMachines`].
 const NOTE_MACHINES: u32 = 25;
 
-/// What is common to all commands, and the number of the command.
+/// The fields common to all commands, and the variant index of the command.
 #[derive(Debug, Serialize, Deserialize)]
 struct EnvelopeHead {
     command_id: Option<CommandId>,
@@ -50,10 +50,10 @@
 
 /// Decodes a log entry.
 pub(crate) fn decode_entry(bytes: &[u8]) -> Result<CommandEnvelope, String> {
-    let (head, read): (EnvelopeHead, usize) =
+    let (head, consumed): (EnvelopeHead, usize) =
         bincode::serde::decode_from_slice(bytes, bincode::config::standard())
             .map_err(|error| error.to_string())?;
-    let payload = &bytes[read..];
+    let payload = &bytes[consumed..];
     let command = match head.command {
         PUT_BACKEND => Command::PutBackend(decoded::<BackendRegistration>(payload)?.into()),
         NOTE_MACHINES => {
@@ -70,8 +70,8 @@
     })
 }
 
-/// The configuration in snapshots of format 3, and of format 4 with the quarantine after
-/// it.
+/// The configuration in snapshots of format 3, and in those of format 4, where the
+/// quarantine follows it.
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) struct Configuration {
     index: u64,
@@ -85,7 +85,7 @@
 pub(crate) type Quarantine = BTreeMap<RequestFingerprint, QuarantineRecord>;
 
 impl Configuration {
-    /// The present type, with these requests in quarantine.
+    /// Converts to the current type, with the given quarantine.
     pub(crate) fn with_quarantine(self, quarantine: Quarantine) -> PresentConfiguration {
         let backends = self.backends.into_iter();
         PresentConfiguration {
--- a/components/control/src/replica/duties.rs
+++ b/components/control/src/replica/duties.rs
@@ -1,5 +1,5 @@
-//! The leader's duties towards the platform: usage that is told once, and
-//! engines that are bought and given back.
+//! The leader's duties towards the platform: reporting usage exactly once, and buying and
+//! returning engines.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -13,107 +13,110 @@
 
 use super::Replica;
 
-/// A window is closed so long after its end: a gateway tells several times a
-/// second, and within this time finds a new leader where it lost the former.
-const CLOSE_AFTER: Millis = Millis(3500);
-/// A new leader listens for so long before it closes a window: gateways find it
-/// and tell again what the former one had not logged. One that asked a replica
-/// which is cut off turns elsewhere after 1.2 s, perhaps twice. A leader that is
-/// lost just before it closes a window, and an election of a second, still leave
-/// a second of the ten in which a window is due.
-const LISTEN: Millis = Millis(3500);
-/// An unanswered call is repeated after this time, which doubles each time.
-const SHORTEST_PAUSE: Millis = Millis(250);
-const LONGEST_PAUSE: Millis = Millis(2000);
+/// Delay from the end of a usage window to its closing. Gateways report several times a
+/// second, and within this time find a new leader when the previous one is lost.
+const WINDOW_CLOSE_DELAY: Millis = Millis(3500);
+/// Time that a new leader collects reports before it closes a window: gateways need it to
+/// find the leader and to repeat what its predecessor had not logged. A gateway that asked
+/// an isolated replica tries the next one after 1.2 s, perhaps twice. If a leader is lost
+/// just before it closes a window and the election takes a second, one of the ten seconds
+/// in which a window is due still remains.
+const NEW_LEADER_CLOSE_DELAY: Millis = Millis(3500);
+/// First pause before a failed call is repeated; it doubles with each failure, up to
+/// [`MAX_RETRY_PAUSE`].
+const MIN_RETRY_PAUSE: Millis = Millis(250);
+const MAX_RETRY_PAUSE: Millis = Millis(2000);
 
-/// What the leader keeps of the duties. It can be lost at any time: what must
-/// survive stands in the log.
+/// The leader's volatile state of its duties. It can be lost at any time: everything that
+/// must survive is in the log.
 #[derive(Debug, Default)]
-pub(super) struct DutyTrack {
+pub(super) struct DutyState {
     led_since: Millis,
-    /// Reports that are not in the log, the newest of each gateway.
-    inbox: BTreeMap<GatewayId, UsageReport>,
-    counted_at: Millis,
+    /// Reports that are not in the log yet, the newest of each gateway.
+    unlogged_reports: BTreeMap<GatewayId, UsageReport>,
+    usage_logged_at: Millis,
     /// The last window whose closing was proposed.
-    closing: Option<UsageWindow>,
-    /// Who held the duties when this term began, once that is known.
-    before: Option<Predecessor>,
-    /// Log index of the tenure that was proposed last.
+    proposed_close: Option<UsageWindow>,
+    /// The holder of the duties when this term began, once it is known.
+    predecessor: Option<Predecessor>,
+    /// Log index of the last proposed tenure.
     tenure_index: u64,
-    /// Calls by subject.
-    tracks: BTreeMap<Subject, CallTrack>,
-    /// Log index of what was noted last of the engines that are needed.
+    /// State of the calls by subject.
+    call_states: BTreeMap<Subject, CallState>,
+    /// Log index of the last proposed count of needed engines.
     needed_index: u64,
-    /// Windows that the platform has taken; the log may not say so yet.
-    taken: BTreeSet<UsageWindow>,
+    /// Windows that the platform has accepted, which the log may not show yet.
+    delivered: BTreeSet<UsageWindow>,
 }
 
-/// Calls about one subject: one at a time, with pauses after those that failed.
+/// Calls about one subject: one at a time, with a pause after each failure.
 #[derive(Debug)]
-struct CallTrack {
-    /// Since when a call is under way.
-    calling_since: Option<Millis>,
-    again_at: Millis,
-    pause: Millis,
-    /// A token that must not be used any more.
-    void_token: Option<u64>,
+struct CallState {
+    /// When the call in flight was made, if there is one.
+    in_flight_since: Option<Millis>,
+    retry_at: Millis,
+    retry_pause: Millis,
+    /// A token that must not be used again.
+    voided_token: Option<u64>,
 }
 
-impl Default for CallTrack {
+impl Default for CallState {
     fn default() -> Self {
-        CallTrack {
-            calling_since: None,
-            again_at: Millis::ZERO,
-            pause: SHORTEST_PAUSE,
-            void_token: None,
+        CallState {
+            in_flight_since: None,
+            retry_at: Millis::ZERO,
+            retry_pause: MIN_RETRY_PAUSE,
+            voided_token: None,
         }
     }
 }
 
-impl CallTrack {
-    fn is_free(&self, settings: &DutySettings, now: Millis) -> bool {
-        // A call whose end nobody tells of is over by then.
-        let lasts = settings.call_time + settings.call_time;
-        let is_calling = |since: Millis| now.since(since) < lasts;
-        !self.calling_since.is_some_and(is_calling) && now >= self.again_at
+impl CallState {
+    fn may_start(&self, settings: &DutySettings, now: Millis) -> bool {
+        // A call whose end is never reported counts as ended after this time.
+        let in_flight_timeout = settings.call_time + settings.call_time;
+        let is_in_flight = |since: Millis| now.since(since) < in_flight_timeout;
+        !self.in_flight_since.is_some_and(is_in_flight) && now >= self.retry_at
     }
 
-    fn failed(&mut self, now: Millis) {
-        self.again_at = now + self.pause;
-        self.pause = (self.pause + self.pause).min(LONGEST_PAUSE);
+    fn delay_retry(&mut self, now: Millis) {
+        self.retry_at = now + self.retry_pause;
+        self.retry_pause = (self.retry_pause + self.retry_pause).min(MAX_RETRY_PAUSE);
     }
 }
 
-impl DutyTrack {
-    /// Whether a call about a subject had the token and failed in a way that
-    /// forbids it for that subject.
-    fn is_void(&self, token: u64) -> bool {
-        self.tracks
+impl DutyState {
+    /// Whether a call with this token failed in a way that forbids the token for its
+    /// subject.
+    fn is_voided(&self, token: u64) -> bool {
+        self.call_states
             .values()
-            .any(|track| track.void_token == Some(token))
+            .any(|call_state| call_state.voided_token == Some(token))
     }
 
     pub(super) fn at_start_of_term(now: Millis) -> Self {
-        DutyTrack {
+        DutyState {
             led_since: now,
-            ..DutyTrack::default()
+            ..DutyState::default()
         }
     }
 }
 
 impl Replica {
-    /// Whether a call may leave at `now`: this replica holds the tenure of its
-    /// token, leads its term and its lease stands.
+    /// Whether a call may be sent at `now`: this replica holds the tenure of its token,
+    /// leads in that term and holds the lease.
     pub fn may_call(&self, call: &DutyCall, now: Millis) -> bool {
         self.own_token() == Some(call.token) && self.node.holds_lease(now)
     }
 
-    /// Takes a gateway's report. It is answered with what stands in the log now:
-    /// the gateway tells again what does not.
-    pub(super) fn take_usage(&mut self, report: UsageReport) -> UsageReceipt {
+    /// Stores a gateway's report. The receipt shows what the log holds now; the gateway
+    /// repeats the rest.
+    pub(super) fn handle_usage_report(&mut self, report: UsageReport) -> UsageReceipt {
         let logged = self.state.usage.logged(&report.gateway);
         if report.number > logged && !report.counts.is_empty() {
-            self.duty_track.inbox.insert(report.gateway.clone(), report);
+            self.duty_state
+                .unlogged_reports
+                .insert(report.gateway.clone(), report);
         }
         UsageReceipt {
             logged,
@@ -122,13 +125,14 @@
         }
     }
 
-    /// The time of day by which windows go.
+    /// The time of day that usage windows follow: this replica's clock, corrected by the
+    /// gateways' offsets.
     fn time_of_day(&self) -> Millis {
         let ahead = self.fleet_load.clocks_ahead_ms(self.now);
         Millis(self.now.0.saturating_add_signed(ahead))
     }
 
-    pub(super) fn do_duties(&mut self) {
+    pub(super) fn perform_duties(&mut self) {
         let Some(settings) = self.settings.duties else {
             return;
         };
@@ -136,18 +140,18 @@
             return;
         }
         if !self.has_all_commands() {
-            self.need_level();
+            self.request_level();
             return;
         }
         if let Some(window_length) = settings.usage_window {
             let interval = usage_interval(self.gateways.count(self.now));
-            if self.now.since(self.duty_track.counted_at) >= interval {
+            if self.now.since(self.duty_state.usage_logged_at) >= interval {
                 self.log_usage();
             }
             self.close_usage(window_length);
         }
         if let Some(token) = self.token(&settings) {
-            self.tell_usage(token, &settings);
+            self.report_usage(token, &settings);
             if settings.buys_engines {
                 self.size_fleet(token, &settings);
             }
@@ -155,9 +159,9 @@
     }
 
     fn log_usage(&mut self) {
-        self.duty_track.counted_at = self.now;
+        self.duty_state.usage_logged_at = self.now;
         let usage = &self.state.usage;
-        let reports: Vec<UsageReport> = std::mem::take(&mut self.duty_track.inbox)
+        let reports: Vec<UsageReport> = std::mem::take(&mut self.duty_state.unlogged_reports)
             .into_values()
             .filter(|report| report.number > usage.logged(&report.gateway))
             .collect();
@@ -166,65 +170,66 @@
         }
     }
 
-    /// Closes the windows that ended long enough ago. What was counted goes into
-    /// the log before.
+    /// Closes the windows whose closing is due. All reports received so far are logged
+    /// first.
     fn close_usage(&mut self, window_length: Millis) {
-        if self.now.since(self.duty_track.led_since) < LISTEN {
+        if self.now.since(self.duty_state.led_since) < NEW_LEADER_CLOSE_DELAY {
             return;
         }
-        let open = UsageWindow::at(self.time_of_day() - CLOSE_AFTER, window_length);
+        let open = UsageWindow::at(self.time_of_day() - WINDOW_CLOSE_DELAY, window_length);
         let due = open.before(1);
         let closed = self
             .state
             .usage
             .closed_through()
-            .max(self.duty_track.closing);
+            .max(self.duty_state.proposed_close);
         if closed.is_some_and(|closed| closed >= due) {
             return;
         }
         self.log_usage();
         if self.propose_own(Command::CloseUsage(due)).is_some() {
-            self.duty_track.closing = Some(due);
+            self.duty_state.proposed_close = Some(due);
         }
     }
 
-    /// The token of this replica's tenure in the term that it leads.
+    /// The token of this replica's tenure, if it was begun in the term that the replica
+    /// leads.
     fn own_token(&self) -> Option<u64> {
         let tenure = self.state.tenures.present()?;
         let is_own = tenure.holder == self.node.id() && tenure.term == self.node.status().term;
         is_own.then_some(tenure.token)
     }
 
-    /// The token to call with now. Begins a tenure where there is none.
+    /// The token for calls that start now. Proposes a tenure if there is none.
     fn token(&mut self, settings: &DutySettings) -> Option<u64> {
         let own = self.node.id();
         let tenures = &self.state.tenures;
-        let before = *self
-            .duty_track
-            .before
+        let predecessor = *self
+            .duty_state
+            .predecessor
             .get_or_insert_with(|| tenures.before(own));
-        if self.now.since(self.duty_track.led_since) < settings.wait_after(before) {
+        if self.now.since(self.duty_state.led_since) < settings.wait_after(predecessor) {
             return None;
         }
-        if self.node.status().applied_index < self.duty_track.tenure_index {
+        if self.node.status().applied_index < self.duty_state.tenure_index {
             return None;
         }
         let token = self
             .own_token()
-            .filter(|token| !self.duty_track.is_void(*token));
+            .filter(|token| !self.duty_state.is_voided(*token));
         if token.is_none()
             && let Some(index) = self.propose_own(Command::BeginTenure(own))
         {
-            self.duty_track.tenure_index = index;
+            self.duty_state.tenure_index = index;
         }
         token
     }
 
-    /// Tells the oldest window that is closed and not told.
-    fn tell_usage(&mut self, token: u64, settings: &DutySettings) {
-        let taken = &self.duty_track.taken;
+    /// Reports the oldest window that is closed and not yet reported.
+    fn report_usage(&mut self, token: u64, settings: &DutySettings) {
+        let delivered = &self.duty_state.delivered;
         let mut untold = self.state.usage.untold().iter();
-        let next = untold.find(|(window, _)| !taken.contains(window));
+        let next = untold.find(|(window, _)| !delivered.contains(window));
         if let Some((window, counts)) = next {
             let duty = Duty::Usage {
                 window: *window,
@@ -234,7 +239,7 @@
         }
     }
 
-    /// Orders the engines that are wanted.
+    /// Orders the engines that are needed and returns those that are not.
     fn size_fleet(&mut self, token: u64, settings: &DutySettings) {
         let Some(routes) = self.state.configuration.routes.clone() else {
             return;
@@ -242,7 +247,9 @@
         let needed = &self.state.needed_engines;
         for step in self.sizing.steps(&routes, needed, self.now) {
             match step {
-                SizingStep::NoteNeeded(service, engines) => self.note_needed(service, engines),
+                SizingStep::NoteNeeded(service, engines) => {
+                    self.propose_needed_engines(service, engines)
+                }
                 SizingStep::Order(duty) => {
                     if self.call(token, duty.clone(), settings) {
                         self.sizing.ordered(&duty, self.now);
@@ -252,61 +259,66 @@
         }
     }
 
-    fn note_needed(&mut self, service: ServiceId, engines: u32) {
-        if self.node.status().applied_index < self.duty_track.needed_index {
+    fn propose_needed_engines(&mut self, service: ServiceId, engines: u32) {
+        if self.node.status().applied_index < self.duty_state.needed_index {
             return;
         }
         let command = Command::NoteNeeded { service, engines };
         if let Some(index) = self.propose_own(command) {
-            self.duty_track.needed_index = index;
+            self.duty_state.needed_index = index;
         }
     }
 
-    /// Makes a call, unless one about the same subject is under way or failed a
-    /// moment ago.
+    /// Makes a call, unless one about the same subject is in flight or waits for its retry.
     fn call(&mut self, token: u64, duty: Duty, settings: &DutySettings) -> bool {
-        let track = self.duty_track.tracks.entry(duty.subject()).or_default();
-        if !track.is_free(settings, self.now) {
+        let call_state = self
+            .duty_state
+            .call_states
+            .entry(duty.subject())
+            .or_default();
+        if !call_state.may_start(settings, self.now) {
             return false;
         }
-        track.calling_since = Some(self.now);
+        call_state.in_flight_since = Some(self.now);
         self.effects
             .push(Effect::CallPlatform(DutyCall { token, duty }));
         true
     }
 
     pub(super) fn handle_duty_answer(&mut self, call: &DutyCall, answer: DutyAnswer) {
-        let track = self
-            .duty_track
-            .tracks
+        let call_state = self
+            .duty_state
+            .call_states
             .entry(call.duty.subject())
             .or_default();
-        track.calling_since = None;
+        call_state.in_flight_since = None;
         match answer {
-            DutyAnswer::Done => track.pause = SHORTEST_PAUSE,
-            DutyAnswer::Throttled => track.failed(self.now),
-            DutyAnswer::Unknown if call.duty.may_come_late() => track.failed(self.now),
-            // Never again under this token: it was refused, or what it ordered
-            // could come after what is ordered next.
+            DutyAnswer::Done => call_state.retry_pause = MIN_RETRY_PAUSE,
+            DutyAnswer::Throttled => call_state.delay_retry(self.now),
+            DutyAnswer::Unknown if call.duty.may_come_late() => call_state.delay_retry(self.now),
+            // The token is not used again for this subject: it was refused, or the order
+            // that it made could take effect after the next one.
             DutyAnswer::Refused | DutyAnswer::Unknown => {
-                track.void_token = Some(call.token);
-                track.failed(self.now);
+                call_state.voided_token = Some(call.token);
+                call_state.delay_retry(self.now);
             }
         }
         match call.duty {
-            Duty::Usage { window, .. } if answer == DutyAnswer::Done => self.note_told(window),
+            Duty::Usage { window, .. } if answer == DutyAnswer::Done => {
+                self.on_usage_delivered(window)
+            }
             Duty::Usage { .. } => {}
             Duty::Fleet { .. } => self.sizing.answered(&call.duty, answer, self.now),
         }
     }
 
-    fn note_told(&mut self, window: UsageWindow) {
+    fn on_usage_delivered(&mut self, window: UsageWindow) {
         let untold = self.state.usage.untold();
-        self.duty_track
-            .taken
-            .retain(|taken| untold.contains_key(taken));
-        self.duty_track.taken.insert(window);
-        // Where this is lost, the next leader tells the same once more.
+        self.duty_state
+            .delivered
+            .retain(|delivered| untold.contains_key(delivered));
+        self.duty_state.delivered.insert(window);
+        // If this entry is lost, the next leader reports the same window again.
         self.propose_own(Command::UsageTold(window));
     }
 }
--- a/components/control/src/replica/engines.rs
+++ b/components/control/src/replica/engines.rs
@@ -12,12 +12,12 @@
 use super::Replica;
 use crate::reconciler::EnginePolling;
 
-/// Machines in one command: some 30 KB, a small part of what one message brings
-/// a follower.
-const MACHINES_PER_COMMAND: usize = 256;
-/// The list may leave an engine out while it changes its role: one with an
-/// order is forgotten only when it is missing for so long.
-const ORDERED_FORGOTTEN: Millis = Millis::from_secs(15);
+/// Limit on the machines in one command: some 30 KB, a small fraction of what one message
+/// to a follower carries.
+const MAX_MACHINES_PER_COMMAND: usize = 256;
+/// An engine with an outstanding order is removed only after it is missing for this time:
+/// the list may omit an engine while it changes its role.
+const ORDERED_ENGINE_REMOVAL_DELAY: Millis = Millis::from_secs(15);
 
 impl Replica {
     pub(super) fn reconcile(&mut self) {
@@ -27,7 +27,7 @@
         if engines.is_empty() {
             return;
         }
-        self.looked_at += (engines.len() + configuration.backends.len()) as u64;
+        self.inspected_backends += (engines.len() + configuration.backends.len()) as u64;
         let census = configuration.pool_census();
         let balancing = self.balancing.as_ref();
         let has_idle_orders = self.has_all_commands();
@@ -47,15 +47,15 @@
         };
         let mut steps = Vec::new();
         for engine in engines {
-            let of_engine = self.reconciler.steps(&engine, &present);
-            steps.extend(of_engine.into_iter().map(|step| (engine.clone(), step)));
+            let engine_steps = self.reconciler.steps(&engine, &present);
+            steps.extend(engine_steps.into_iter().map(|step| (engine.clone(), step)));
         }
         for (engine, step) in steps {
-            self.take_step(&engine, step);
+            self.execute_step(&engine, step);
         }
     }
 
-    pub(super) fn take_step(&mut self, engine: &BackendId, step: Step) {
+    pub(super) fn execute_step(&mut self, engine: &BackendId, step: Step) {
         match step {
             Step::Ask(request) => self.ask_engine(engine, request),
             Step::Propose(command) => {
@@ -112,16 +112,16 @@
         };
         let backlogs = self.fleet_load.sums(self.now);
         let configuration = &self.state.configuration;
-        let given_back = configuration
+        let returned = configuration
             .routes
             .as_ref()
             .map(|routes| self.sizing.given_back(routes, &self.state.needed_engines));
-        let mut aside = given_back.unwrap_or_default();
-        // One that takes a few requests is no capacity of its phase, and a change of
-        // role would not help it.
-        aside.extend(self.limiting.backends().cloned());
-        let changes = balancing.decide(configuration, &backlogs, aside, self.now);
-        self.looked_at += balancing.take_looked_at();
+        let mut excluded = returned.unwrap_or_default();
+        // An engine with a limit adds almost no capacity to its phase, and a change of role
+        // would not help it.
+        excluded.extend(self.limiting.backends().cloned());
+        let changes = balancing.decide(configuration, &backlogs, excluded, self.now);
+        self.inspected_backends += balancing.take_looked_at();
         let applied = self.node.status().applied_index;
         for change in changes {
             if self.reconciler.awaits(&change.engine, applied) {
@@ -142,34 +142,34 @@
         }
     }
 
-    /// Takes the platform's list. It lags and may contradict itself, so a
-    /// missing machine is only taken out of routing, and only after a while.
+    /// Processes the platform's list of machines. The list lags and may contradict itself,
+    /// so a missing machine is only taken out of routing, and only after a while.
     ///
-    /// What is new goes into the log in commands of many machines: the log of a
-    /// start grows with the machines by a few hundredths of an entry each. While
-    /// the news of an earlier list is under way, the next one waits its turn.
+    /// Changes go into the log in commands of many machines, so that a start with many
+    /// machines adds only a few hundredths of an entry for each. While changes of an
+    /// earlier list are being committed, later lists are skipped.
     pub(super) fn handle_machines(&mut self, machines: &[MachineEntry]) {
         if !self.node.holds_lease(self.now) {
             return;
         }
-        let without_starts = self.without_starts(machines);
-        let machines = without_starts.as_deref().unwrap_or(machines);
+        let machines_without_starts = self.machines_without_starts(machines);
+        let machines = machines_without_starts.as_deref().unwrap_or(machines);
         self.sizing.see(machines, self.now);
-        if self.machines_noted_at > self.node.status().applied_index {
+        if self.machines_proposed_index > self.node.status().applied_index {
             return;
         }
         for entry in machines {
-            self.note_start(entry);
+            self.handle_restart(entry);
         }
         let mut notes: Vec<MachineNote> = machines
             .iter()
-            .filter_map(|entry| self.compare_machine(entry))
+            .filter_map(|entry| self.machine_change(entry))
             .collect();
         let listed: BTreeSet<&BackendId> = machines
             .iter()
             .map(|entry| &entry.registration.id)
             .collect();
-        let mut forgotten = Vec::new();
+        let mut removed = Vec::new();
         let mut missing = Vec::new();
         for id in self.state.configuration.backends.keys() {
             if listed.contains(id) {
@@ -179,29 +179,31 @@
             }
         }
         for id in missing {
-            match self.note_missing(&id) {
-                Some(Missing::Leaving(note)) => notes.push(note),
-                Some(Missing::Forgotten) => forgotten.push(id),
+            match self.handle_missing(&id) {
+                Some(MissingOutcome::Leaving(note)) => notes.push(note),
+                Some(MissingOutcome::Removed) => removed.push(id),
                 None => {}
             }
         }
         if !self.has_all_commands() {
-            notes.iter().for_each(|note| self.propose_one_by_one(note));
-            let remove = |id| self.propose_machines(Command::RemoveBackend(id));
-            forgotten.into_iter().for_each(remove);
+            notes
+                .iter()
+                .for_each(|note| self.propose_v11_commands(note));
+            let remove = |id| self.propose_machine_command(Command::RemoveBackend(id));
+            removed.into_iter().for_each(remove);
             return;
         }
-        for part in notes.chunks(MACHINES_PER_COMMAND) {
-            self.propose_machines(Command::NoteMachines(part.to_vec()));
+        for chunk in notes.chunks(MAX_MACHINES_PER_COMMAND) {
+            self.propose_machine_command(Command::NoteMachines(chunk.to_vec()));
         }
-        for part in forgotten.chunks(MACHINES_PER_COMMAND) {
-            self.propose_machines(Command::ForgetMachines(part.to_vec()));
+        for chunk in removed.chunks(MAX_MACHINES_PER_COMMAND) {
+            self.propose_machine_command(Command::ForgetMachines(chunk.to_vec()));
         }
     }
 
-    /// The list without starts of applications, where the log has no place for them: each
-    /// reading would be news otherwise.
-    fn without_starts(&self, machines: &[MachineEntry]) -> Option<Vec<MachineEntry>> {
+    /// The list without the starts of applications, if the log's version can't hold them:
+    /// each list would otherwise look like a change.
+    fn machines_without_starts(&self, machines: &[MachineEntry]) -> Option<Vec<MachineEntry>> {
         if self.has_all_commands() {
             return None;
         }
@@ -212,37 +214,37 @@
         Some(machines)
     }
 
-    /// What is new of a machine, in commands that version 11 has.
-    fn propose_one_by_one(&mut self, note: &MachineNote) {
+    /// Proposes the changes of a machine in commands that version 11 has.
+    fn propose_v11_commands(&mut self, note: &MachineNote) {
         let id = &note.registration.id;
         let known = self.state.configuration.backends.get(id);
         let is_known = known.is_some_and(|record| record.registration == note.registration);
         let machine = known.map_or(MachineState::Live, |record| record.machine);
         if !is_known {
-            self.propose_machines(Command::PutBackend(note.registration.clone()));
+            self.propose_machine_command(Command::PutBackend(note.registration.clone()));
         }
         if machine != note.state {
-            self.propose_machines(Command::SetMachine {
+            self.propose_machine_command(Command::SetMachine {
                 backend: id.clone(),
                 state: note.state,
             });
         }
         if let Some(observation) = &note.observed {
-            self.propose_machines(Command::Observe {
+            self.propose_machine_command(Command::Observe {
                 engine: id.clone(),
                 observation: observation.clone(),
             });
         }
     }
 
-    /// Where an engine has started again under its name, what was believed of it
-    /// belongs to another one.
-    fn note_start(&mut self, entry: &MachineEntry) {
+    /// Drops the state held about an engine that has restarted under its name: it described
+    /// the previous process.
+    fn handle_restart(&mut self, entry: &MachineEntry) {
         let id = &entry.registration.id;
         let record = self.state.configuration.backends.get(id);
-        let former = record.and_then(|record| record.observed.as_ref());
-        if let (Some(now), Some(former)) = (&entry.observed, former)
-            && now.is_another_start(former)
+        let previous = record.and_then(|record| record.observed.as_ref());
+        if let (Some(now), Some(previous)) = (&entry.observed, previous)
+            && now.is_another_start(previous)
         {
             self.reconciler.started_again(id);
             self.copies.started_again(id);
@@ -251,14 +253,14 @@
         }
     }
 
-    fn propose_machines(&mut self, command: Command) {
+    fn propose_machine_command(&mut self, command: Command) {
         if let Some(index) = self.propose_own(command) {
-            self.machines_noted_at = index;
+            self.machines_proposed_index = index;
         }
     }
 
-    /// What is new of a machine, if anything.
-    fn compare_machine(&self, entry: &MachineEntry) -> Option<MachineNote> {
+    /// The change of a machine, if there is any.
+    fn machine_change(&self, entry: &MachineEntry) -> Option<MachineNote> {
         let known = self
             .state
             .configuration
@@ -266,10 +268,10 @@
             .get(&entry.registration.id);
         let observed = entry.observed.clone().filter(|now| {
             known.is_none_or(|record| {
-                let is_again = |former| now.is_another_start(former);
-                let may_tell =
-                    record.order.is_none() || record.observed.as_ref().is_some_and(is_again);
-                may_tell && now.is_news_after(record.observed.as_ref())
+                let is_restart = |previous| now.is_another_start(previous);
+                let may_observe =
+                    record.order.is_none() || record.observed.as_ref().is_some_and(is_restart);
+                may_observe && now.is_news_after(record.observed.as_ref())
             })
         });
         let is_known = known.is_some_and(|record| {
@@ -283,33 +285,33 @@
         })
     }
 
-    /// What follows from a back end's being missing from the list, if anything
-    /// does yet.
-    fn note_missing(&mut self, backend: &BackendId) -> Option<Missing> {
+    /// What has to be done about a back end that is missing from the list, if anything is
+    /// due.
+    fn handle_missing(&mut self, backend: &BackendId) -> Option<MissingOutcome> {
         let record = self.state.configuration.backends.get(backend)?;
         let since = self.missing_since.entry(backend.clone());
         let missing_for = self.now.since(*since.or_insert(self.now));
         let settings = self.settings.directory;
         let is_live = record.machine == MachineState::Live;
         if is_live && missing_for >= settings.leaving_after {
-            return Some(Missing::Leaving(MachineNote {
+            return Some(MissingOutcome::Leaving(MachineNote {
                 registration: record.registration.clone(),
                 state: MachineState::Leaving,
                 observed: None,
             }));
         }
-        let is_over = settings
+        let is_expired = settings
             .forget_after
             .is_some_and(|after| missing_for >= after);
-        let may_go = record.order.is_none() || missing_for >= ORDERED_FORGOTTEN;
-        (!is_live && is_over && may_go).then_some(Missing::Forgotten)
+        let may_be_removed = record.order.is_none() || missing_for >= ORDERED_ENGINE_REMOVAL_DELAY;
+        (!is_live && is_expired && may_be_removed).then_some(MissingOutcome::Removed)
     }
 }
 
-/// What becomes of a back end that is missing from the list.
-enum Missing {
-    /// It is sent nothing new.
+/// What is done about a back end that is missing from the list.
+enum MissingOutcome {
+    /// It receives no new requests.
     Leaving(MachineNote),
-    /// It is gone.
-    Forgotten,
+    /// It is removed from the configuration.
+    Removed,
 }
--- a/components/control/src/replica/gateway_requests.rs
+++ b/components/control/src/replica/gateway_requests.rs
@@ -1,4 +1,4 @@
-//! Watches and claims of gateways.
+//! Gateways' requests: watches, claims, and reports.
 
 use garnet_consensus::Member;
 use garnet_types::{EncodingVersion, GatewayId, Millis};
@@ -9,16 +9,16 @@
 use crate::messages::{ClaimRequest, ControlReply, GatewayRequest, GroupView, WatchUpdate};
 use crate::shared::Shared;
 
-use super::{Asker, Replica};
+use super::{Replica, Requester};
 
-/// What a replica knows is told for so long after it knew a leader last. One
-/// that is cut off from the others must not go on telling it.
-const LAST_KNOWN_FOR: Millis = Millis::from_secs(5);
+/// How long after it last knew a leader a replica still sends its own configuration to
+/// gateways. A replica that is cut off from the group must not send it any longer.
+const LAST_KNOWN_LIFETIME: Millis = Millis::from_secs(5);
 
 impl Replica {
     pub(super) fn handle_gateway(&mut self, connection: u64, request: GatewayRequest) {
-        // The lease is checked with the clock read for this very event, so a
-        // leader that was paused does not speak for the group.
+        // The lease is checked with the clock read for this very event, so that a leader
+        // that was paused does not answer for the group.
         if !self.may_answer_reads() {
             let last_known = self.last_known_for(&request);
             self.refer_to_leader(connection, last_known);
@@ -35,12 +35,12 @@
                 evidence,
                 copies,
             } => {
-                self.note_gateway_name(connection, &gateway);
+                self.record_gateway_name(connection, &gateway);
                 if let Some(planning) = &mut self.planning {
                     planning.add(&mix);
                 }
                 self.copies.note(&gateway, copies, self.now);
-                self.note_living(&evidence);
+                self.record_answering_backends(&evidence);
                 self.fleet_load
                     .note(&gateway, sent_at, backlogs, evidence, self.now);
                 let update = self.update_for(&gateway, connection, configuration_index);
@@ -49,13 +49,13 @@
                     .push(Effect::ReplyGateway { connection, reply });
                 self.send_limits(&gateway, connection);
                 self.gateways.grant(gateway, configuration_index, self.now);
-                self.serve_waiters();
+                self.answer_waiters();
             }
             GatewayRequest::LimitReports { gateway, reports } => {
-                self.take_limit_reports(&gateway, &reports);
+                self.handle_limit_reports(&gateway, &reports);
             }
-            GatewayRequest::Permit(ask) => {
-                let reply = self.give_permit(&ask);
+            GatewayRequest::Permit(permit_request) => {
+                let reply = self.answer_permit_request(&permit_request);
                 self.effects
                     .push(Effect::ReplyGateway { connection, reply });
             }
@@ -66,28 +66,28 @@
             }
             GatewayRequest::Claim(request) => self.handle_claim(connection, request),
             GatewayRequest::Usage(report) => {
-                let receipt = self.take_usage(report);
+                let receipt = self.handle_usage_report(report);
                 let reply = ControlReply::Usage(receipt);
                 self.effects
                     .push(Effect::ReplyGateway { connection, reply });
             }
             GatewayRequest::Runs(report) => {
-                let reply = self.take_runs(&report);
+                let reply = self.handle_run_report(&report);
                 self.effects
                     .push(Effect::ReplyGateway { connection, reply });
             }
         }
     }
 
-    fn update_for(&mut self, gateway: &GatewayId, connection: u64, asked: u64) -> WatchUpdate {
-        if self.versions.of_gateway(connection) <= EncodingVersion::V11 {
+    fn update_for(&mut self, gateway: &GatewayId, connection: u64, from_index: u64) -> WatchUpdate {
+        if self.versions.of_connection(connection) <= EncodingVersion::V11 {
             let configuration = &self.state.configuration;
-            return self.recent.update_in_one(asked, configuration);
+            return self.recent.update_in_one(from_index, configuration);
         }
         self.sent_updates.update_for(
             gateway,
             connection,
-            asked,
+            from_index,
             self.now,
             &mut self.recent,
             &self.state.configuration,
@@ -121,7 +121,9 @@
             gateways: self.gateways.count(self.now),
             digest,
             copies: self.copies.news_for(gateway, configuration),
-            suspects: self.quarantining.news_for(gateway, connection, self.now),
+            suspects: self
+                .quarantining
+                .suspects_for(gateway, connection, self.now),
         }
     }
 
@@ -133,30 +135,29 @@
             ClaimRequest::Record { claim, response } => Command::RecordResult { claim, response },
         };
         let envelope = CommandEnvelope::unnamed(command, self.now);
-        let asker = Asker::Gateway { connection, claim };
-        if self.propose(&envelope, asker).is_err() {
+        let requester = Requester::Gateway { connection, claim };
+        if self.propose(&envelope, requester).is_err() {
             self.reply_not_leader(connection);
         }
     }
 
-    /// What a gateway without any configuration may go by until there is a
-    /// leader again.
+    /// The configuration for a gateway that has none, while there is no leader.
     ///
-    /// Invariant: all of the log is committed, so nothing that was accepted
-    /// and that this replica holds is missing, and nothing that was not
-    /// accepted is in it. Other replicas may hold more.
+    /// Invariant: all of the log is committed, so no accepted command that this replica
+    /// holds is missing, and no command is included that was not accepted. Other replicas
+    /// may hold more.
     fn last_known_for(&mut self, request: &GatewayRequest) -> Option<Shared<Configuration>> {
-        let knows_nothing = matches!(
+        let has_no_configuration = matches!(
             request,
             GatewayRequest::Watch {
                 configuration_index: 0,
                 ..
             }
         );
-        let knows_leader = self.node.status().leader.is_some();
-        let is_recent = self.now.since(self.knew_leader_at) <= LAST_KNOWN_FOR;
-        let is_sure = self.node.is_wholly_committed() && self.state.configuration.index > 0;
-        (knows_nothing && !knows_leader && is_recent && is_sure)
+        let has_leader = self.node.status().leader.is_some();
+        let is_recent = self.now.since(self.leader_known_at) <= LAST_KNOWN_LIFETIME;
+        let is_reliable = self.node.is_wholly_committed() && self.state.configuration.index > 0;
+        (has_no_configuration && !has_leader && is_recent && is_reliable)
             .then(|| self.recent.whole(&self.state.configuration))
     }
 
--- a/components/control/src/replica/group.rs
+++ b/components/control/src/replica/group.rs
@@ -1,4 +1,4 @@
-//! Carries out what [`next_step`] decides about the group's members.
+//! Carries out the steps on the group's members that [`next_step`] decides.
 
 use std::collections::BTreeMap;
 
@@ -10,24 +10,24 @@
 use crate::group_step::{GroupStep, MemberFacts, next_step};
 use crate::messages::JoinRequest;
 
-/// A replica that asks to join repeats it more often than this.
-const CANDIDATE_FRESH: Millis = Millis(2000);
+/// How long a request to join counts. A replica repeats its request more often than this.
+const CANDIDATE_LIFETIME: Millis = Millis(2000);
 
-/// Replicas that asked to join lately; the latest one of each address counts.
+/// Replicas that recently asked to join; the latest request of each address counts.
 #[derive(Debug, Default)]
 pub(super) struct Candidates {
     by_address: BTreeMap<String, (JoinRequest, Millis)>,
 }
 
 impl Candidates {
-    fn note(&mut self, request: JoinRequest, now: Millis) {
+    fn insert_request(&mut self, request: JoinRequest, now: Millis) {
         let address = request.peer_address.clone();
         self.by_address.insert(address, (request, now));
     }
 
-    fn fresh(&mut self, now: Millis) -> Vec<JoinRequest> {
+    fn recent(&mut self, now: Millis) -> Vec<JoinRequest> {
         self.by_address
-            .retain(|_, (_, asked_at)| now.since(*asked_at) <= CANDIDATE_FRESH);
+            .retain(|_, (_, received_at)| now.since(*received_at) <= CANDIDATE_LIFETIME);
         let requests = self.by_address.values();
         requests.map(|(request, _)| request.clone()).collect()
     }
@@ -38,10 +38,10 @@
 }
 
 impl Replica {
-    /// Takes the wish of a replica to join, or passes it on to the leader.
+    /// Records the request of a replica to join, or forwards it to the leader.
     pub(super) fn handle_join(&mut self, request: JoinRequest) {
         if self.node.is_leader() {
-            self.candidates.note(request, self.now);
+            self.candidates.insert_request(request, self.now);
             return;
         }
         let own = self.node.id();
@@ -53,18 +53,18 @@
         }
     }
 
-    /// Takes the next step towards a whole group, if one is due. The leader
-    /// holds its lease. A step that can't be taken now is tried again.
-    pub(super) fn mend_group(&mut self) {
+    /// Takes the next step of the group's repair, if one is due. The caller checks that
+    /// this leader holds its lease. A step that can't be taken now is tried again later.
+    pub(super) fn repair_group(&mut self) {
         let Some(settings) = self.settings.group else {
             return;
         };
-        let candidates = self.candidates.fresh(self.now);
+        let candidates = self.candidates.recent(self.now);
         let members = member_facts(&self.node);
         let Some(step) = next_step(&members, &candidates, settings) else {
             return;
         };
-        let taken = match &step {
+        let proposed = match &step {
             GroupStep::Admit(candidate) => self.node.add_learner(
                 candidate.id,
                 candidate.peer_address.clone(),
@@ -73,7 +73,7 @@
             GroupStep::Promote(id) => self.node.promote(*id),
             GroupStep::Remove(id) => self.node.remove_member(*id),
         };
-        if taken.is_ok() {
+        if proposed.is_ok() {
             self.effects.push(Effect::GroupChanged { step });
         }
     }
--- a/components/control/src/replica/leadership.rs
+++ b/components/control/src/replica/leadership.rs
@@ -11,10 +11,10 @@
 
 use super::limiting::Limiting;
 use super::quarantining::Quarantining;
-use super::{Asker, DutyTrack, Replica};
+use super::{DutyState, Replica, Requester};
 
 impl Replica {
-    pub(super) fn note_leadership(&mut self) {
+    pub(super) fn update_leadership(&mut self) {
         let leads = self.node.is_leader().then(|| self.node.status().term);
         if leads == self.led_term {
             return;
@@ -36,9 +36,9 @@
             self.planning = self.settings.planner.map(Planning::new);
             self.balancing = self.settings.balance.map(Balancing::new);
             self.missing_since.clear();
-            self.machines_noted_at = 0;
+            self.machines_proposed_index = 0;
             self.sent_updates = SentUpdates::default();
-            self.duty_track = DutyTrack::at_start_of_term(self.now);
+            self.duty_state = DutyState::at_start_of_term(self.now);
             self.sizing = FleetSizing::default();
             self.effects.push(Effect::BecameLeader { term });
         }
@@ -47,7 +47,7 @@
 
     pub(super) fn abandon_pending(&mut self) {
         for (_, pending) in std::mem::take(&mut self.pending) {
-            self.answer_unconfirmed(pending.asker);
+            self.answer_unconfirmed(pending.requester);
         }
         for removal in std::mem::take(&mut self.removals) {
             self.answer_operator(removal.ticket, OperatorAnswer::Unconfirmed);
@@ -57,13 +57,13 @@
         }
     }
 
-    pub(super) fn answer_unconfirmed(&mut self, asker: Asker) {
-        match asker {
-            Asker::Operator { ticket, .. } => {
+    pub(super) fn answer_unconfirmed(&mut self, requester: Requester) {
+        match requester {
+            Requester::Operator { ticket, .. } => {
                 self.answer_operator(ticket, OperatorAnswer::Unconfirmed);
             }
-            Asker::Gateway { connection, .. } => self.reply_not_leader(connection),
-            Asker::Leader => {}
+            Requester::Gateway { connection, .. } => self.reply_not_leader(connection),
+            Requester::Leader => {}
         }
     }
 }
--- a/components/control/src/replica/limiting.rs
+++ b/components/control/src/replica/limiting.rs
@@ -1,5 +1,5 @@
 //! The leader's side of limits: collects them from the reports of gateways, sends the list
-//! to all gateways and grants permits.
+//! of limits to all gateways and grants permits.
 
 use std::collections::BTreeMap;
 
@@ -13,27 +13,28 @@
 
 use super::Replica;
 
-/// Rate at which the list is sent to one gateway, in bytes a millisecond: a sixth of the
-/// 24 KB a second that control may cost a node. Faster changes are sent together.
+/// Rate at which the list is sent to one gateway, in bytes per millisecond: a sixth of the
+/// 24 KB a second that control traffic may cost a node. Changes that come faster are sent
+/// together.
 const LIST_BYTES_PER_MS: u64 = 4;
-/// Bytes of one limit in the list.
-const LIMIT_BYTES: u64 = 24;
+/// Size of one limit in the list.
+const BYTES_PER_LIMIT: u64 = 24;
 
-/// Limits as the leader knows them. None of it is in the log.
+/// Limits known to the leader. They are not replicated through the log.
 #[derive(Debug, Default)]
 pub(super) struct Limiting {
     ledger: LimitLedger,
-    /// The list and its number, encoded once for all gateways.
+    /// The list of limits and its number, encoded once for all gateways.
     list: Option<(u64, Shared<Vec<LimitEntry>>)>,
     gateways: BTreeMap<GatewayId, GatewayState>,
 }
 
-/// What was exchanged with one gateway.
+/// State of the exchange with one gateway.
 #[derive(Debug, Clone, Copy, Default)]
 struct GatewayState {
-    /// The list that it was sent last.
+    /// The list that was last sent to it.
     sent: Option<SentList>,
-    /// Number of its last message that is applied.
+    /// Number of the gateway's last message that was applied.
     reports_taken: u64,
 }
 
@@ -51,13 +52,13 @@
         self.ledger.backends()
     }
 
-    /// Forgets the limit of a back end that has started again.
+    /// Removes the limit of a back end that has restarted.
     pub(super) fn started_again(&mut self, id: &BackendId) {
         self.ledger.forget(id);
     }
 
-    /// The list for a gateway, unless it has the newest one.
-    fn news_for(
+    /// The list for a gateway, unless it has the newest one or was sent one too recently.
+    fn list_for(
         &mut self,
         gateway: &GatewayId,
         connection: u64,
@@ -65,35 +66,40 @@
     ) -> Option<(SentList, Shared<Vec<LimitEntry>>)> {
         let number = self.ledger.number();
         let state = self.gateways.entry(gateway.clone()).or_default();
-        let news = SentList {
+        let new_list = SentList {
             number,
             connection,
             reports_taken: state.reports_taken,
             at: now,
         };
-        let before = state.sent.filter(|before| before.connection == connection);
-        if let Some(before) = before {
-            let is_known = SentList { at: now, ..before } == news;
+        let previous = state
+            .sent
+            .filter(|previous| previous.connection == connection);
+        if let Some(previous) = previous {
+            let is_known = SentList {
+                at: now,
+                ..previous
+            } == new_list;
             let length = self.list.as_ref().map_or(0, |(_, list)| list.len()) as u64;
-            let interval = Millis(length * LIMIT_BYTES / LIST_BYTES_PER_MS);
-            if is_known || now.since(before.at) < interval {
+            let interval = Millis(length * BYTES_PER_LIMIT / LIST_BYTES_PER_MS);
+            if is_known || now.since(previous.at) < interval {
                 return None;
             }
         }
-        state.sent = Some(news);
-        Some((news, self.list()))
+        state.sent = Some(new_list);
+        Some((new_list, self.list()))
     }
 
     fn list(&mut self) -> Shared<Vec<LimitEntry>> {
         let number = self.ledger.number();
-        let held = self.list.take().filter(|(of, _)| *of == number);
+        let cached = self.list.take().filter(|(of, _)| *of == number);
         let (_, list) = self
             .list
-            .insert(held.unwrap_or_else(|| (number, Shared::from(self.ledger.list()))));
+            .insert(cached.unwrap_or_else(|| (number, Shared::from(self.ledger.list()))));
         list.clone()
     }
 
-    fn take_reports(
+    fn apply_reports(
         &mut self,
         gateway: &GatewayId,
         message: &LimitReports,
@@ -102,49 +108,50 @@
     ) {
         let state = self.gateways.entry(gateway.clone()).or_default();
         state.reports_taken = state.reports_taken.max(message.number);
-        let is_of_present = |report: &&LimitReport| is_of_present(report, configuration);
-        for report in message.reports.iter().filter(is_of_present) {
+        let is_of_current_start =
+            |report: &&LimitReport| is_of_current_start(report, configuration);
+        for report in message.reports.iter().filter(is_of_current_start) {
             self.ledger.note(report, now);
         }
     }
 }
 
-/// Whether a report is of the present start of a back end that is known; a start that is
-/// not told matches any.
-fn is_of_present(report: &LimitReport, configuration: &Configuration) -> bool {
+/// Whether a report concerns the current start of a known back end; an unknown start
+/// matches any.
+fn is_of_current_start(report: &LimitReport, configuration: &Configuration) -> bool {
     let Some(record) = configuration.backends.get(&report.backend) else {
         return false;
     };
-    let present = record.start();
-    report.start == present || report.start == UNTOLD_START || present == UNTOLD_START
+    let current_start = record.start();
+    report.start == current_start || report.start == UNTOLD_START || current_start == UNTOLD_START
 }
 
 impl Replica {
-    /// Back ends that have a limit, as far as this leader knows.
+    /// Count of back ends that have a limit known to this leader.
     pub fn limited_backends(&self) -> usize {
         self.limiting.backends().count()
     }
 
     /// Applies the reports of a gateway.
-    pub(super) fn take_limit_reports(&mut self, gateway: &GatewayId, reports: &LimitReports) {
+    pub(super) fn handle_limit_reports(&mut self, gateway: &GatewayId, reports: &LimitReports) {
         let configuration = &self.state.configuration;
         self.limiting
-            .take_reports(gateway, reports, configuration, self.now);
+            .apply_reports(gateway, reports, configuration, self.now);
     }
 
     /// Answers a request for a permit.
-    pub(super) fn give_permit(&mut self, ask: &PermitAsk) -> ControlReply {
+    pub(super) fn answer_permit_request(&mut self, ask: &PermitAsk) -> ControlReply {
         ControlReply::Permit(self.limiting.ledger.ask(ask, self.now))
     }
 
     /// Sends the list of limits to a gateway that watches, unless it has the newest one.
     pub(super) fn send_limits(&mut self, gateway: &GatewayId, connection: u64) {
-        let news = self.limiting.news_for(gateway, connection, self.now);
-        if let Some((news, limits)) = news {
+        let new_list = self.limiting.list_for(gateway, connection, self.now);
+        if let Some((new_list, limits)) = new_list {
             let reply = ControlReply::Limits(LimitUpdate {
                 term: self.node.status().term,
-                number: news.number,
-                reports_taken: news.reports_taken,
+                number: new_list.number,
+                reports_taken: new_list.reports_taken,
                 limits,
             });
             self.effects
@@ -152,8 +159,8 @@
         }
     }
 
-    /// Forgets back ends and gateways that are gone.
-    pub(super) fn keep_limits(&mut self) {
+    /// Removes the limits and states of back ends and gateways that no longer exist.
+    pub(super) fn prune_limits(&mut self) {
         let backends = &self.state.configuration.backends;
         self.limiting.ledger.keep(|id| backends.contains_key(id));
         let known = &self.gateways;
--- a/components/control/src/replica/log.rs
+++ b/components/control/src/replica/log.rs
@@ -1,4 +1,4 @@
-//! Proposals, what becomes of them, and snapshots.
+//! Proposals, the application of committed entries, and snapshots.
 
 use garnet_consensus::{Entry, EntryPayload, Snapshot};
 use garnet_types::Millis;
@@ -14,32 +14,33 @@
 use crate::watch::RecentChanges;
 
 use super::level::ProposalError;
-use super::{Asker, Pending, Replica, Waiter};
+use super::{PendingProposal, Replica, Requester, Waiter};
 
-/// A large state is written anew only after so many entries that each of them
-/// pays for this many bytes of it.
+/// A large state is written again only after so many entries that each of them accounts for
+/// this many of its bytes.
 const SNAPSHOT_BYTES_PER_ENTRY: u64 = 2048;
 
-/// Longest wait of an operator for a change to be in force.
-const LONGEST_WAIT: Millis = Millis::from_secs(30);
+/// Longest time that an operator request waits for its change to be in force.
+const MAX_IN_FORCE_WAIT: Millis = Millis::from_secs(30);
 
 impl Replica {
     pub(super) fn propose(
         &mut self,
         envelope: &CommandEnvelope,
-        asker: Asker,
+        requester: Requester,
     ) -> Result<u64, ProposalError> {
         let version = self.entry_version()?;
         let bytes = encode_entry(envelope, version)?;
         let index = self.node.propose(bytes)?;
         let term = self.node.status().term;
-        self.pending.insert(index, Pending { term, asker });
+        self.pending
+            .insert(index, PendingProposal { term, requester });
         Ok(index)
     }
 
     pub(super) fn propose_own(&mut self, command: Command) -> Option<u64> {
         let envelope = CommandEnvelope::unnamed(command, self.now);
-        self.propose(&envelope, Asker::Leader).ok()
+        self.propose(&envelope, Requester::Leader).ok()
     }
 
     pub(super) fn apply(&mut self, entry: &Entry) {
@@ -60,9 +61,9 @@
             return;
         };
         if pending.term == entry.term {
-            self.answer(pending.asker, answer);
+            self.answer(pending.requester, answer);
         } else {
-            self.answer_unconfirmed(pending.asker);
+            self.answer_unconfirmed(pending.requester);
         }
     }
 
@@ -70,7 +71,7 @@
         let DecodedEntry { envelope, version } = self
             .state
             .encoding
-            .decode_by(self.settings.upgrade.version, bytes)?;
+            .decode_up_to(self.settings.upgrade.version, bytes)?;
         let applied = self
             .state
             .apply_by(version, entry.index, entry.term, &envelope);
@@ -86,8 +87,8 @@
         Ok(applied.answer)
     }
 
-    /// Applies no more of the log: what comes after an entry that can't be read builds on
-    /// it. The replica goes on to store the log and to vote, and answers nothing.
+    /// Stops applying the log: the entries after one that can't be read build on it. The
+    /// replica continues to store the log and to vote, and answers no requests.
     fn halt(&mut self, index: u64, cause: EntryError) {
         let halted = Halted { index, cause };
         self.effects.push(Effect::Halted(halted.clone()));
@@ -96,10 +97,10 @@
         self.abandon_pending();
     }
 
-    pub(super) fn answer(&mut self, asker: Asker, answer: CommandAnswer) {
-        match asker {
-            Asker::Operator { ticket, wait } => self.answer_command(ticket, wait, answer),
-            Asker::Gateway { connection, claim } => {
+    pub(super) fn answer(&mut self, requester: Requester, answer: CommandAnswer) {
+        match requester {
+            Requester::Operator { ticket, wait } => self.answer_command(ticket, wait, answer),
+            Requester::Gateway { connection, claim } => {
                 let answer = match answer {
                     CommandAnswer::Claim(answer) => answer,
                     _ => ClaimAnswer::Noted,
@@ -108,7 +109,7 @@
                 self.effects
                     .push(Effect::ReplyGateway { connection, reply });
             }
-            Asker::Leader => {}
+            Requester::Leader => {}
         }
     }
 
@@ -118,7 +119,7 @@
                 ticket,
                 revision,
                 answer,
-                until: self.now + LONGEST_WAIT,
+                deadline: self.now + MAX_IN_FORCE_WAIT,
             }),
             answer => {
                 let in_force = false;
@@ -127,13 +128,13 @@
         }
     }
 
-    pub(super) fn serve_waiters(&mut self) {
+    pub(super) fn answer_waiters(&mut self) {
         let now = self.now;
-        let mut kept = Vec::new();
+        let mut still_waiting = Vec::new();
         for waiter in std::mem::take(&mut self.waiters) {
             let in_force = self.gateways.all_confirmed(waiter.revision, now);
-            if !in_force && now < waiter.until {
-                kept.push(waiter);
+            if !in_force && now < waiter.deadline {
+                still_waiting.push(waiter);
                 continue;
             }
             let answer = waiter.answer;
@@ -142,7 +143,7 @@
                 OperatorAnswer::Committed { answer, in_force },
             );
         }
-        self.waiters = kept;
+        self.waiters = still_waiting;
     }
 
     pub(super) fn restore(&mut self, snapshot: &Snapshot) {
@@ -152,7 +153,7 @@
                 self.state = state;
                 self.halted = None;
             }
-            Err(error) => self.failed = Some(error),
+            Err(error) => self.restore_error = Some(error),
         }
     }
 
@@ -167,7 +168,7 @@
         if !is_due || self.halted.is_some() {
             return;
         }
-        // What the level has no place for was never proposed at it.
+        // A state that the level's version can't express was never proposed at that level.
         let Ok(data) = self.state.encode() else {
             return;
         };
--- a/components/control/src/replica/mod.rs
+++ b/components/control/src/replica/mod.rs
@@ -19,7 +19,7 @@
 use garnet_types::{BackendId, EncodingVersion, Fence, Millis, ReplicaId};
 use thiserror::Error;
 
-use duties::DutyTrack;
+use duties::DutyState;
 use group::Candidates;
 use level::Versions;
 use limiting::Limiting;
@@ -40,16 +40,16 @@
 use crate::state::{ControlState, StateDecodeError};
 use crate::watch::{RecentChanges, SentUpdates};
 
-/// How often the leader looks at the engines.
+/// Interval between two reconciliation passes of the leader.
 const RECONCILE_INTERVAL: Millis = Millis(100);
 
-/// How the leader believes the platform's list of machines.
+/// When the leader acts on machines that are missing from the platform's list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct DirectorySettings {
-    /// A machine that is missing from the list for so long counts as leaving.
+    /// A machine that is missing from the list for this time counts as leaving.
     pub leaving_after: Millis,
-    /// A leaving machine that is missing for so long is forgotten; `None`
-    /// leaves that to the operators.
+    /// A leaving machine that is missing for this time is removed; `None` leaves its
+    /// removal to the operators.
     pub forget_after: Option<Millis>,
 }
 
@@ -71,29 +71,28 @@
     pub snapshot_every: u64,
     /// The role planner; `None` leaves roles to the operators.
     pub planner: Option<PlannerSettings>,
-    /// The balance of phases, for engines that do not state their speed; in
-    /// place of a planner.
+    /// Balancing of prefill and decode engines, for engines that do not report their speed;
+    /// used instead of a planner.
     pub balance: Option<BalanceSettings>,
-    /// How the leader keeps the group whole; `None` leaves the members to the
-    /// operators.
+    /// How the leader repairs the group; `None` leaves membership to the operators.
     pub group: Option<GroupSettings>,
-    /// How the platform's list is believed.
+    /// When machines that are missing from the platform's list leave.
     pub directory: DirectorySettings,
-    /// When engines are asked for their state.
+    /// When engines are polled for their status.
     pub engine_polling: EnginePolling,
-    /// Duties towards the platform, if there are any.
+    /// Duties towards the platform; `None` if there are none.
     pub duties: Option<DutySettings>,
-    /// How it stands beside builds of other versions.
+    /// How the replica works with processes of other versions.
     pub upgrade: UpgradeSettings,
 }
 
-/// How a replica stands beside builds of other versions.
+/// How a replica works with processes of other versions.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct UpgradeSettings {
-    /// The highest version that it reads and writes. Simulations have replicas of earlier
-    /// ones.
+    /// The highest encoding version that the replica reads and writes. Simulations run
+    /// replicas of earlier versions.
     pub version: EncodingVersion,
-    /// How long an upgrade that is complete can be rolled back.
+    /// How long a complete upgrade can still be rolled back.
     pub rollback_window: Millis,
 }
 
@@ -107,7 +106,7 @@
 }
 
 impl ReplicaSettings {
-    /// Settings without a planner, for members that the operators keep.
+    /// Settings without a planner, for a group whose members the operators manage.
     pub fn new(consensus: Config) -> Self {
         ReplicaSettings {
             consensus,
@@ -123,21 +122,21 @@
     }
 }
 
-/// A replica's disk holds a state that this program can't read.
+/// The state on a replica's disk can't be read by this build.
 #[derive(Debug, Display, Error)]
 pub enum RestoreError {
     /// snapshot at index {index}: {source}
     Snapshot {
         /// Index of the snapshot.
         index: u64,
-        /// What is wrong with it.
+        /// Why it could not be decoded.
         source: StateDecodeError,
     },
 }
 
-/// Who waits for a proposed command.
+/// The origin of a proposed command, which receives its answer.
 #[derive(Debug)]
-enum Asker {
+enum Requester {
     Operator {
         ticket: u64,
         wait: bool,
@@ -150,26 +149,26 @@
 }
 
 #[derive(Debug)]
-struct Pending {
+struct PendingProposal {
     term: u64,
-    asker: Asker,
+    requester: Requester,
 }
 
-/// An operator who waits for a change to be in force.
+/// An operator request that is answered when its change is in force everywhere.
 #[derive(Debug)]
 struct Waiter {
     ticket: u64,
     revision: u64,
     answer: CommandAnswer,
-    until: Millis,
+    deadline: Millis,
 }
 
-/// A removal of a member that waits for a majority of the rest.
+/// A removal of a member that waits until a majority of the remaining members responds.
 #[derive(Debug, Clone, Copy)]
 struct Removal {
     ticket: u64,
     id: ReplicaId,
-    asked_at: Millis,
+    requested_at: Millis,
 }
 
 /// The state machine of one replica.
@@ -180,7 +179,7 @@
     recent: RecentChanges,
     sent_updates: SentUpdates,
     settings: ReplicaSettings,
-    pending: BTreeMap<u64, Pending>,
+    pending: BTreeMap<u64, PendingProposal>,
     waiters: Vec<Waiter>,
     removals: Vec<Removal>,
     candidates: Candidates,
@@ -193,32 +192,33 @@
     planning: Option<Planning>,
     balancing: Option<Balancing>,
     reconciled_at: Millis,
-    /// Back ends that the leader's regular work has looked at so far.
-    looked_at: u64,
+    /// Count of back ends inspected by the leader's periodic work since the process
+    /// started.
+    inspected_backends: u64,
     missing_since: BTreeMap<BackendId, Millis>,
-    /// Log index of the newest command about machines.
-    machines_noted_at: u64,
-    duty_track: DutyTrack,
+    /// Log index of the last proposed command about machines.
+    machines_proposed_index: u64,
+    duty_state: DutyState,
     sizing: FleetSizing,
     led_term: Option<u64>,
-    /// When a leader was known last; the start counts as such a moment.
-    knew_leader_at: Millis,
+    /// When a leader was last known; initially the start time of the replica.
+    leader_known_at: Millis,
     effects: Vec<Effect>,
     snapshot_due: Option<Snapshot>,
     /// Size of the latest snapshot.
     snapshot_bytes: u64,
-    failed: Option<StateDecodeError>,
-    /// Set where the log holds an entry that this build can't read.
+    restore_error: Option<StateDecodeError>,
+    /// Set when the log holds an entry that this build can't read.
     halted: Option<Halted>,
     versions: Versions,
     now: Millis,
 }
 
 impl Replica {
-    /// Starts a replica from what its disk holds.
+    /// Creates a replica from the state restored from its disk.
     ///
     /// # Errors
-    /// When the snapshot can't be read by this program.
+    /// When the snapshot can't be read by this build.
     pub fn new(
         settings: ReplicaSettings,
         restored: Restored,
@@ -260,24 +260,24 @@
             limiting: Limiting::default(),
             reconciler,
             reconciled_at: Millis::ZERO,
-            looked_at: 0,
+            inspected_backends: 0,
             missing_since: BTreeMap::new(),
-            machines_noted_at: 0,
-            duty_track: DutyTrack::default(),
+            machines_proposed_index: 0,
+            duty_state: DutyState::default(),
             sizing: FleetSizing::default(),
             led_term: None,
-            knew_leader_at: now,
+            leader_known_at: now,
             effects: Vec::new(),
             snapshot_due: None,
             snapshot_bytes: 0,
-            failed: None,
+            restore_error: None,
             halted: None,
             versions: Versions::default(),
             now,
         })
     }
 
-    /// The replicated state as applied here.
+    /// The replicated state up to the last applied entry.
     pub fn state(&self) -> &ControlState {
         &self.state
     }
@@ -287,39 +287,39 @@
         &self.node
     }
 
-    /// Why the replica can't go on, once it can't: a snapshot from the leader
-    /// that this program can't read.
+    /// The error after which the replica can't continue: the leader sent a snapshot that
+    /// this build can't read.
     pub fn failure(&self) -> Option<&StateDecodeError> {
-        self.failed.as_ref()
+        self.restore_error.as_ref()
     }
 
-    /// Whether an order under `fence` may leave at `now`: this replica still
-    /// leads the fence's term and its lease stands.
+    /// Whether an order under `fence` may be sent at `now`: this replica must still lead in
+    /// the fence's term and hold the lease.
     pub fn may_send_order(&self, fence: Fence, now: Millis) -> bool {
-        let own_term = self.node.status().term == fence.term;
-        own_term && self.node.holds_lease(now)
+        let is_own_term = self.node.status().term == fence.term;
+        is_own_term && self.node.holds_lease(now)
     }
 
-    /// Whether this replica knows the newest committed state now: it holds the
-    /// lease, and it has applied an entry of its own term. A new leader may
-    /// hold its lease before it has applied what its predecessors committed.
+    /// Whether this replica may answer linearizable reads: it holds the lease and has
+    /// applied an entry of its own term. A new leader may hold its lease before it has
+    /// applied all entries that its predecessors committed.
     fn may_answer_reads(&self) -> bool {
-        let knows_all = self.node.has_applied_own_term() && self.halted.is_none();
-        self.node.holds_lease(self.now) && knows_all
+        let has_applied_all = self.node.has_applied_own_term() && self.halted.is_none();
+        self.node.holds_lease(self.now) && has_applied_all
     }
 
-    /// Where and why the replica applies no more of its log, if it does not.
+    /// Where and why the replica has stopped applying its log, if it has.
     pub fn halted(&self) -> Option<&Halted> {
         self.halted.as_ref()
     }
 
-    /// Back ends that the leader's regular work has looked at since the process
-    /// began: what it costs while nothing happens.
-    pub fn looked_at(&self) -> u64 {
-        self.looked_at
+    /// Count of back ends inspected by the leader's periodic work since the process
+    /// started: the cost of that work while nothing changes.
+    pub fn inspected_backends(&self) -> u64 {
+        self.inspected_backends
     }
 
-    /// Takes what happened.
+    /// Processes an event.
     pub fn handle(&mut self, event: Event, now: Millis) {
         self.now = self.now.max(now);
         match event {
@@ -337,14 +337,14 @@
             Event::Machines(machines) => self.handle_machines(&machines),
             Event::Join(request) => self.handle_join(request),
             Event::DutyAnswered { call, answer } => self.handle_duty_answer(&call, answer),
-            Event::MemberOpened { id, version } => self.note_member_version(id, version),
+            Event::MemberOpened { id, version } => self.record_member_version(id, version),
             Event::GatewayOpened {
                 connection,
                 version,
-            } => self.note_gateway_opened(connection, version),
-            Event::GatewayClosed { connection } => self.note_gateway_closed(connection),
+            } => self.on_gateway_opened(connection, version),
+            Event::GatewayClosed { connection } => self.on_gateway_closed(connection),
         }
-        self.note_leadership();
+        self.update_leadership();
     }
 
     /// Whether there is work for the disk or the network.
@@ -352,12 +352,12 @@
         self.node.has_ready()
     }
 
-    /// Takes the work. Its durable part must be synced before [`Self::persisted`].
+    /// Takes the pending work. Its durable part must be synced before [`Self::persisted`].
     pub fn ready(&mut self) -> Ready {
         self.node.ready()
     }
 
-    /// Goes on with work whose durable part is synced.
+    /// Continues with work whose durable part is synced.
     pub fn persisted(&mut self, ready: Ready, now: Millis) {
         self.now = self.now.max(now);
         self.node.advance(&ready);
@@ -370,16 +370,16 @@
         self.effects
             .extend(ready.messages.into_iter().map(Effect::SendPeer));
         self.take_snapshot_if_due();
-        self.note_leadership();
-        self.serve_waiters();
+        self.update_leadership();
+        self.answer_waiters();
     }
 
-    /// Takes a snapshot that the driver has to save.
+    /// Takes the snapshot that the driver has to save, if there is one.
     pub fn take_snapshot(&mut self) -> Option<Snapshot> {
         self.snapshot_due.take()
     }
 
-    /// Takes what is to be done.
+    /// Takes the effects that the driver has to carry out.
     pub fn take_effects(&mut self) -> Vec<Effect> {
         std::mem::take(&mut self.effects)
     }
@@ -387,25 +387,25 @@
     fn tick(&mut self) {
         self.node.tick(self.now);
         if self.node.status().leader.is_some() {
-            self.knew_leader_at = self.now;
+            self.leader_known_at = self.now;
         }
-        self.note_leadership();
+        self.update_leadership();
         let leads = self.node.holds_lease(self.now);
         if leads && self.now.since(self.reconciled_at) >= RECONCILE_INTERVAL {
             self.reconciled_at = self.now;
             self.reconcile();
             self.plan();
             self.balance();
-            self.mend_group();
-            self.do_duties();
+            self.repair_group();
+            self.perform_duties();
             self.quarantine();
-            self.keep_limits();
+            self.prune_limits();
             self.raise_level_if_due();
             self.gateways.forget_silent(self.now);
-            self.forget_gateway_names();
+            self.prune_gateway_names();
             self.sent_updates.forget(self.now);
         }
-        self.serve_removals();
-        self.serve_waiters();
+        self.process_removals();
+        self.answer_waiters();
     }
 }
--- a/components/control/src/replica/operator_requests.rs
+++ b/components/control/src/replica/operator_requests.rs
@@ -1,4 +1,4 @@
-//! Commands, questions and member changes of operators.
+//! Commands, queries and membership changes of operators.
 
 use std::collections::BTreeMap;
 
@@ -12,10 +12,10 @@
 use crate::operator::{MemberChange, MemberView, OperatorAnswer, OperatorRequest, StatusView};
 
 use super::level::ProposalError;
-use super::{Asker, Pending, Removal, Replica};
+use super::{PendingProposal, Removal, Replica, Requester};
 
-/// How long a removal waits for a majority of the rest to confirm itself.
-const REMOVAL_PATIENCE: Millis = Millis(1000);
+/// How long a removal waits for responses of a majority of the remaining members.
+const REMOVAL_TIMEOUT: Millis = Millis(1000);
 
 impl Replica {
     pub(super) fn handle_operator(&mut self, ticket: u64, request: OperatorRequest) {
@@ -66,15 +66,15 @@
             self.answer_operator(ticket, answer);
             return;
         }
-        let asker = Asker::Operator { ticket, wait };
-        match self.propose(envelope, asker) {
+        let requester = Requester::Operator { ticket, wait };
+        match self.propose(envelope, requester) {
             Ok(_) => {}
             Err(ProposalError::Consensus(error)) => self.answer_refused(ticket, &error),
             Err(ProposalError::LogNotReadable(_) | ProposalError::LevelUnknown) => {
                 self.answer_operator(ticket, OperatorAnswer::Unconfirmed);
             }
             Err(error @ ProposalError::Level(_)) => {
-                self.need_level();
+                self.request_level();
                 self.answer_operator(ticket, OperatorAnswer::NotYet(error.to_string()));
             }
         }
@@ -89,11 +89,11 @@
             } => self.node.add_learner(id, peer_address, admin_address),
             MemberChange::Promote(id) => self.node.promote(id),
             MemberChange::Remove(id) if self.node.is_leader() => {
-                let asked_at = self.now;
+                let requested_at = self.now;
                 self.removals.push(Removal {
                     ticket,
                     id,
-                    asked_at,
+                    requested_at,
                 });
                 return;
             }
@@ -103,24 +103,24 @@
                 return;
             }
         };
-        self.note_proposed_member(ticket, proposed);
+        self.track_member_proposal(ticket, proposed);
     }
 
-    /// Makes removals that a majority of the rest has confirmed since they
-    /// were asked for, and refuses those that none confirms. A change of the
-    /// group is in force from its proposal on: one that could not be committed
-    /// would leave the group without a majority for good.
-    pub(super) fn serve_removals(&mut self) {
+    /// Proposes removals for which a majority of the remaining members has responded since
+    /// the request, and refuses those for which it has not in time. A membership change is
+    /// in force from its proposal on: one that could not be committed would leave the group
+    /// without a majority for good.
+    pub(super) fn process_removals(&mut self) {
         for removal in std::mem::take(&mut self.removals) {
             let Removal {
                 ticket,
                 id,
-                asked_at,
+                requested_at,
             } = removal;
-            if self.node.confirms_quorum_without(id, asked_at) {
+            if self.node.confirms_quorum_without(id, requested_at) {
                 let proposed = self.node.remove_member(id);
-                self.note_proposed_member(ticket, proposed);
-            } else if self.now.since(asked_at) >= REMOVAL_PATIENCE {
+                self.track_member_proposal(ticket, proposed);
+            } else if self.now.since(requested_at) >= REMOVAL_TIMEOUT {
                 self.answer_refused(ticket, &ProposeError::WouldLoseQuorum);
             } else {
                 self.removals.push(removal);
@@ -128,13 +128,14 @@
         }
     }
 
-    fn note_proposed_member(&mut self, ticket: u64, proposed: Result<u64, ProposeError>) {
+    fn track_member_proposal(&mut self, ticket: u64, proposed: Result<u64, ProposeError>) {
         match proposed {
             Ok(index) => {
                 let term = self.node.status().term;
                 let wait = false;
-                let asker = Asker::Operator { ticket, wait };
-                self.pending.insert(index, Pending { term, asker });
+                let requester = Requester::Operator { ticket, wait };
+                self.pending
+                    .insert(index, PendingProposal { term, requester });
             }
             Err(error) => self.answer_refused(ticket, &error),
         }
--- a/components/control/src/replica/quarantining.rs
+++ b/components/control/src/replica/quarantining.rs
@@ -1,8 +1,8 @@
-//! The leader refuses requests under which engines end, at all gateways.
+//! The leader's side of the quarantine: requests that crash engines are refused by all
+//! gateways.
 //!
-//! Gateways are told of a verdict with the next answer to their watch, before
-//! the log has it: a disk that is slow holds no verdict up. What the log has
-//! outlives the leader.
+//! Gateways receive a verdict with the next answer to their watch, before it is in the log,
+//! so that a slow disk delays no verdict. What the log holds outlives the leader.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -15,68 +15,69 @@
 
 use super::Replica;
 
-/// A list that is not empty is told again after this time: an answer may be lost
-/// where a link is bad, and its connection stays.
-const TELL_AGAIN: Millis = Millis::from_secs(1);
+/// A list that is not empty is sent again after this time: an answer may be lost on a bad
+/// link while its connection stays open.
+const RESEND_INTERVAL: Millis = Millis::from_secs(1);
 
-/// Shortest time between two entries of the log about suspected requests.
-const LOG_INTERVAL: Millis = Millis(200);
+/// Minimum time between two log entries about suspected requests.
+const MIN_LOG_INTERVAL: Millis = Millis(200);
 
-/// What the leader keeps of such requests. It can be lost at any time.
+/// The leader's volatile state of suspected requests. It can be lost at any time.
 #[derive(Debug, Default)]
 pub(super) struct Quarantining {
     tracker: CrashTracker,
-    /// Verdicts of this term that the log may not have yet.
+    /// Verdicts of this term that the log may not hold yet.
     proposed: BTreeSet<RequestFingerprint>,
-    /// What gateways are told, and its number, which rises with each change.
+    /// The list that gateways receive.
     suspects: Suspects,
+    /// Number of the list, which rises with each change.
     number: u64,
-    told: BTreeMap<GatewayId, Told>,
-    /// Log index of the configuration whose quarantine the tracker knows.
-    known_index: u64,
-    /// Whether what a former leader knew was taken over.
-    has_taken_over: bool,
-    /// When suspects were put into the log last.
+    sent: BTreeMap<GatewayId, SentList>,
+    /// Log index of the configuration with which the tracker was last synchronized.
+    synced_index: u64,
+    /// Whether the previous leader's suspects were restored from the log.
+    has_restored: bool,
+    /// When suspects were last proposed to the log.
     logged_at: Millis,
 }
 
-/// What a gateway was told last.
+/// The list that a gateway was last sent.
 #[derive(Debug, Clone, Copy)]
-struct Told {
+struct SentList {
     number: u64,
     connection: u64,
     at: Millis,
 }
 
 impl Quarantining {
-    /// The list for a gateway, where it may not know it.
-    pub(super) fn news_for(
+    /// The list for a gateway, unless it is known to have it.
+    pub(super) fn suspects_for(
         &mut self,
         gateway: &GatewayId,
         connection: u64,
         now: Millis,
     ) -> Option<Suspects> {
-        let told = Told {
+        let sent = SentList {
             number: self.number,
             connection,
             at: now,
         };
-        let before = self.told.get(gateway);
-        if before.is_some_and(|before| self.is_known(before, &told)) {
+        let previous = self.sent.get(gateway);
+        if previous.is_some_and(|previous| self.is_known(previous, &sent)) {
             return None;
         }
-        self.told.insert(gateway.clone(), told);
+        self.sent.insert(gateway.clone(), sent);
         Some(self.suspects.clone())
     }
 
-    fn is_known(&self, before: &Told, told: &Told) -> bool {
-        let is_same = before.number == told.number && before.connection == told.connection;
-        let is_due = told.at.since(before.at) >= TELL_AGAIN;
-        is_same && (self.suspects.is_empty() || !is_due)
+    fn is_known(&self, previous: &SentList, sent: &SentList) -> bool {
+        let is_same = previous.number == sent.number && previous.connection == sent.connection;
+        let is_resend_due = sent.at.since(previous.at) >= RESEND_INTERVAL;
+        is_same && (self.suspects.is_empty() || !is_resend_due)
     }
 
-    /// Works out what gateways are told.
-    fn list(&mut self) {
+    /// Updates the list that gateways receive.
+    fn update_list(&mut self) {
         let suspects = Suspects {
             suspected: self.tracker.suspected().to_vec(),
             refused: self.proposed.iter().copied().collect(),
@@ -89,33 +90,33 @@
 }
 
 impl Replica {
-    /// Takes what a gateway saw of runs that ended with their engine.
-    pub(super) fn take_runs(&mut self, report: &RunReport) -> ControlReply {
+    /// Applies a gateway's report of runs that ended with their engine.
+    pub(super) fn handle_run_report(&mut self, report: &RunReport) -> ControlReply {
         self.quarantining.tracker.note(report, self.now);
         ControlReply::RunsNoted {
             through: report.through,
         }
     }
 
-    /// Notes back ends that answered.
-    pub(super) fn note_living(&mut self, evidence: &[Evidence]) {
+    /// Records which back ends answered requests.
+    pub(super) fn record_answering_backends(&mut self, evidence: &[Evidence]) {
         for evidence in evidence.iter().filter(|evidence| evidence.answered > 0) {
             let tracker = &mut self.quarantining.tracker;
             tracker.answered(&evidence.backend, self.now);
         }
     }
 
-    /// Refuses what has to be refused, and releases what was refused for long
-    /// enough.
+    /// Quarantines the requests that are due for it, and releases those whose time has
+    /// expired.
     pub(super) fn quarantine(&mut self) {
         let gateways = &self.gateways;
-        let told = &mut self.quarantining.told;
-        told.retain(|gateway, _| gateways.is_known(gateway));
+        let sent = &mut self.quarantining.sent;
+        sent.retain(|gateway, _| gateways.is_known(gateway));
         if !self.node.has_applied_own_term() || !self.has_all_commands() {
             return;
         }
-        self.take_over();
-        self.follow_log();
+        self.restore_suspects();
+        self.sync_with_log();
         for verdict in self.quarantining.tracker.settle(self.now) {
             self.quarantining.proposed.insert(verdict.fingerprint);
             self.effects.push(Effect::Quarantined(verdict));
@@ -124,14 +125,14 @@
                 crashes: u32::try_from(verdict.crashes).unwrap_or(u32::MAX),
             });
         }
-        self.release_old();
-        self.quarantining.list();
+        self.release_expired();
+        self.quarantining.update_list();
         self.log_suspects();
     }
 
-    /// Goes on from what the log says of suspected requests.
-    fn take_over(&mut self) {
-        if std::mem::replace(&mut self.quarantining.has_taken_over, true) {
+    /// Restores the previous leader's suspects from the log, once per term.
+    fn restore_suspects(&mut self) {
+        if std::mem::replace(&mut self.quarantining.has_restored, true) {
             return;
         }
         for (fingerprint, record) in &self.state.suspects {
@@ -143,55 +144,57 @@
         }
     }
 
-    /// Puts into the log which requests are suspected, where it says otherwise.
+    /// Proposes the suspected requests where they differ from those in the log.
     fn log_suspects(&mut self) {
         let Quarantining {
             tracker, logged_at, ..
         } = &self.quarantining;
-        if self.now.since(*logged_at) < LOG_INTERVAL {
+        if self.now.since(*logged_at) < MIN_LOG_INTERVAL {
             return;
         }
         let logged = &self.state.suspects;
         let suspected: BTreeSet<RequestFingerprint> = tracker.suspected().iter().copied().collect();
-        let mut news: Vec<SuspectedRequest> = Vec::new();
+        let mut changes: Vec<SuspectedRequest> = Vec::new();
         for fingerprint in &suspected {
             let engines = tracker.engines(fingerprint);
             if logged.get(fingerprint).map(|record| &record.engines) != Some(&engines) {
                 let fingerprint = *fingerprint;
-                news.push(SuspectedRequest {
+                changes.push(SuspectedRequest {
                     fingerprint,
                     engines,
                 });
             }
         }
         let cleared = logged.keys().filter(|id| !suspected.contains(id));
-        news.extend(cleared.map(|fingerprint| SuspectedRequest {
+        changes.extend(cleared.map(|fingerprint| SuspectedRequest {
             fingerprint: *fingerprint,
             engines: Vec::new(),
         }));
-        if !news.is_empty() {
+        if !changes.is_empty() {
             self.quarantining.logged_at = self.now;
-            self.propose_own(Command::NoteSuspects(news));
+            self.propose_own(Command::NoteSuspects(changes));
         }
     }
 
-    /// Takes over what the log says: verdicts of a former leader, and what an
-    /// operator has released.
-    fn follow_log(&mut self) {
+    /// Applies the quarantine in the log: verdicts of earlier leaders, and releases by
+    /// operators.
+    fn sync_with_log(&mut self) {
         let index = self.state.configuration.index;
-        if self.quarantining.known_index == index {
+        if self.quarantining.synced_index == index {
             return;
         }
-        self.quarantining.known_index = index;
+        self.quarantining.synced_index = index;
         let logged = &self.state.configuration.quarantine;
         let Quarantining {
             tracker, proposed, ..
         } = &mut self.quarantining;
-        let arrived = proposed.extract_if(.., |id| logged.contains_key(id));
-        let _arrived = arrived.count();
-        let released = |id: &RequestFingerprint| !logged.contains_key(id) && !proposed.contains(id);
-        let gone: Vec<RequestFingerprint> = tracker.refused().filter(|id| released(id)).collect();
-        for fingerprint in gone {
+        let now_logged = proposed.extract_if(.., |id| logged.contains_key(id));
+        let _count = now_logged.count();
+        let is_released =
+            |id: &RequestFingerprint| !logged.contains_key(id) && !proposed.contains(id);
+        let to_release: Vec<RequestFingerprint> =
+            tracker.refused().filter(|id| is_released(id)).collect();
+        for fingerprint in to_release {
             tracker.release(&fingerprint);
         }
         for fingerprint in logged.keys() {
@@ -199,11 +202,11 @@
         }
     }
 
-    fn release_old(&mut self) {
+    fn release_expired(&mut self) {
         let logged = &self.state.configuration.quarantine;
-        let over = logged.iter().filter(|(_, record)| record.until <= self.now);
-        let over: Vec<RequestFingerprint> = over.map(|(id, _)| *id).collect();
-        for fingerprint in over {
+        let expired = logged.iter().filter(|(_, record)| record.until <= self.now);
+        let expired: Vec<RequestFingerprint> = expired.map(|(id, _)| *id).collect();
+        for fingerprint in expired {
             self.propose_own(Command::ReleaseRequest(fingerprint));
         }
     }
--- a/components/control/tests/state/balancing.rs
+++ b/components/control/tests/state/balancing.rs
@@ -150,9 +150,9 @@
     let mut leader = leader();
     let lists: Vec<_> = (0..4).map(|_| pool(engines)).collect();
     stated(&mut leader, &lists, &watch(0, 0));
-    let before = leader.replica.looked_at();
+    let before = leader.replica.inspected_backends();
     leader.run(Millis::from_secs(5));
-    leader.replica.looked_at() - before
+    leader.replica.inspected_backends() - before
 }
 
 /// The leader of ten thousand engines looked at each of them twenty times a
