--- a/components/control/tests/group_repair/machines.rs
+++ b/components/control/tests/group_repair/machines.rs
@@ -1,4 +1,4 @@
-//! One machine: a disk, perhaps a running replica, and what it knows of others.
+//! One machine: a disk, a replica that may run, and the members that it knows.
 
 use std::collections::BTreeSet;
 
@@ -10,9 +10,9 @@
 use garnet_types::{Millis, ReplicaId};
 
 const SNAPSHOT_EVERY: u64 = 40;
-const ASK_INTERVAL: Millis = Millis(300);
+const JOIN_REQUEST_INTERVAL: Millis = Millis(300);
 
-/// A replica that runs and its open disk.
+/// A running replica and its open disk.
 struct Running {
     replica: Replica,
     storage: ReplicaStorage<MemoryDirectory>,
@@ -22,19 +22,19 @@
     pub address: String,
     id: ReplicaId,
     disk: MemoryDirectory,
-    /// The group that the disk was made for; empty for a stranger.
+    /// The group for which the disk was initialized; empty on a machine that has to join.
     first_group: Membership,
     running: Option<Running>,
-    pub gone: bool,
+    pub removed: bool,
     pub frozen: bool,
-    asked_at: Millis,
-    /// Starts so far: what was asked in a former life is not answered.
+    last_request_at: Millis,
+    /// Count of starts so far; answers to calls of an earlier start are dropped.
     pub starts: u64,
     /// Duties of the replica.
     duties: Option<DutySettings>,
 }
 
-/// Identity of a first member that is known by its address.
+/// Identity of an initial member, derived from its address.
 fn first_identity(address: &str) -> ReplicaId {
     ReplicaId(1000 + address.bytes().map(u64::from).sum::<u64>())
 }
@@ -54,39 +54,43 @@
 }
 
 impl Machine {
-    /// A machine of the first start: a first member, or one that joins.
-    pub fn first(address: String, group: &Membership, drawn: u64) -> Self {
+    /// A machine of the group's first start: an initial member, or one that joins.
+    pub fn initial(address: String, group: &Membership, drawn_identity: u64) -> Self {
         let own = first_identity(&address);
         let is_member = group.members.contains_key(&own);
         Machine {
-            id: if is_member { own } else { ReplicaId(drawn) },
+            id: if is_member {
+                own
+            } else {
+                ReplicaId(drawn_identity)
+            },
             first_group: if is_member {
                 group.clone()
             } else {
                 Membership::default()
             },
-            ..Machine::empty(address, drawn)
+            ..Machine::empty(address, drawn_identity)
         }
     }
 
-    /// A machine with an empty disk, at a later time.
-    pub fn empty(address: String, drawn: u64) -> Self {
+    /// A machine with an empty disk, which has to join.
+    pub fn empty(address: String, drawn_identity: u64) -> Self {
         Machine {
             address,
-            id: ReplicaId(drawn),
+            id: ReplicaId(drawn_identity),
             disk: MemoryDirectory::default(),
             first_group: Membership::default(),
             running: None,
-            gone: false,
+            removed: false,
             frozen: false,
-            asked_at: Millis::ZERO,
+            last_request_at: Millis::ZERO,
             starts: 0,
             duties: None,
         }
     }
 
-    /// Its replica has these duties from its next start on.
-    pub fn give_duties(&mut self, duties: Option<DutySettings>) {
+    /// Sets the duties of the replica from its next start on.
+    pub fn set_duties(&mut self, duties: Option<DutySettings>) {
         self.duties = duties;
     }
 
@@ -94,8 +98,8 @@
         self.running.as_ref().map(|running| &running.replica)
     }
 
-    pub fn acts(&self) -> bool {
-        self.running.is_some() && !self.frozen && !self.gone
+    pub fn is_active(&self) -> bool {
+        self.running.is_some() && !self.frozen && !self.removed
     }
 
     pub fn start(&mut self, now: Millis, seed: u64) {
@@ -121,28 +125,29 @@
             commit_index: recovered.commit_index,
             initial_membership: self.first_group.clone(),
         };
-        let replica = Replica::new(settings, restored, now).expect("a sound disk");
+        let replica = Replica::new(settings, restored, now).expect("a healthy disk");
         self.running = Some(Running { replica, storage });
     }
 
-    /// The process ends; the disk keeps what was synced, or all of it.
+    /// Ends the process; the disk keeps what was synced, or all writes, depending on
+    /// `loss`.
     pub fn stop(&mut self, loss: PowerLoss) {
         if let Some(running) = self.running.take() {
             self.disk = running.storage.directory().after_power_loss(loss);
         }
     }
 
-    /// The process ends and its disk is lost: a stranger comes back.
-    pub fn wipe(&mut self, drawn: u64) {
+    /// Ends the process and loses its disk: the machine returns with an unknown identity.
+    pub fn wipe(&mut self, drawn_identity: u64) {
         let address = self.address.clone();
         *self = Machine {
             starts: self.starts,
             duties: self.duties,
-            ..Machine::empty(address, drawn)
+            ..Machine::empty(address, drawn_identity)
         };
     }
 
-    /// Takes an event and everything that follows from it on the disk.
+    /// Handles an event and all the disk writes that follow from it.
     pub fn handle(&mut self, event: Event, now: Millis) -> Vec<Effect> {
         let Some(running) = &mut self.running else {
             return Vec::new();
@@ -150,30 +155,34 @@
         running.replica.handle(event, now);
         while running.replica.has_ready() {
             let ready = running.replica.ready();
-            running.storage.write(&ready).expect("the disk is sound");
+            running.storage.write(&ready).expect("the disk is healthy");
             running.replica.persisted(ready, now);
         }
         if let Some(snapshot) = running.replica.take_snapshot() {
             let saved = running.storage.save_snapshot(&snapshot);
-            saved.expect("the disk is sound");
+            saved.expect("the disk is healthy");
         }
         running.replica.take_effects()
     }
 
-    /// The wish to join and whom to tell it, when it is time to ask.
-    pub fn wish(&mut self, seeds: &[String], now: Millis) -> Option<(JoinRequest, Vec<String>)> {
+    /// The request to join and its targets, if a request is due.
+    pub fn join_request(
+        &mut self,
+        seeds: &[String],
+        now: Millis,
+    ) -> Option<(JoinRequest, Vec<String>)> {
         let replica = self.replica()?;
         let membership = replica.node().membership();
         let is_member = membership.members.contains_key(&self.id);
-        let belongs = is_member && replica.node().status().leader.is_some();
-        if belongs || now.since(self.asked_at) < ASK_INTERVAL {
+        let has_joined = is_member && replica.node().status().leader.is_some();
+        if has_joined || now.since(self.last_request_at) < JOIN_REQUEST_INTERVAL {
             return None;
         }
         let known = membership.members.values();
         let mut targets: BTreeSet<String> = known.map(|m| m.peer_address.clone()).collect();
         targets.extend(seeds.iter().cloned());
         targets.remove(&self.address);
-        self.asked_at = now;
+        self.last_request_at = now;
         let request = JoinRequest {
             id: self.id,
             peer_address: self.address.clone(),
--- a/components/control/tests/group_repair/metering.rs
+++ b/components/control/tests/group_repair/metering.rs
@@ -1,22 +1,22 @@
-//! Gateways that count what begins to run, and report it to the leader.
+//! Gateways that count the requests that start, and report them to the leader.
 
 use garnet_control::{ControlReply, UsageReport};
 use garnet_forwarding::UsageMeter;
 use garnet_types::{GatewayId, Millis, TenantId};
 
-/// How often a gateway reports.
+/// Interval between two reports of a gateway.
 const REPORT_INTERVAL: Millis = Millis(250);
-/// A machine that answers nothing for so long is left for the next one.
-const SILENCE: Millis = Millis(1200);
+/// A gateway reports to the next machine after it has received no reply for this time.
+const REPLY_TIMEOUT: Millis = Millis(1200);
 
 pub struct MeteringGateway {
     meter: UsageMeter,
     reported_at: Millis,
-    heard_at: Millis,
-    /// The machine that it reports to, counted on.
-    pub asks: usize,
-    /// Requests that came too late for their window.
-    pub lost: u64,
+    received_at: Millis,
+    /// Counter whose remainder by the number of machines is the machine that it reports to.
+    pub target: usize,
+    /// Requests that were counted too late for their window.
+    pub late_requests: u64,
 }
 
 impl MeteringGateway {
@@ -24,25 +24,26 @@
         MeteringGateway {
             meter: UsageMeter::new(GatewayId::new(id), window_length),
             reported_at: Millis::ZERO,
-            heard_at: now,
-            asks: 0,
-            lost: 0,
+            received_at: now,
+            target: 0,
+            late_requests: 0,
         }
     }
 
-    pub fn begin(&mut self, tenant: &str, now: Millis) {
+    pub fn start_request(&mut self, tenant: &str, now: Millis) {
         self.meter.note(&TenantId::new(tenant), now);
     }
 
-    /// Requests that are not known to be in the log: what a kill takes along.
+    /// Requests that are not known to be in the log, and would be lost if the gateway was
+    /// killed.
     pub fn unlogged(&self) -> u64 {
         self.meter.unlogged()
     }
 
-    /// The next report, when it is time for one.
+    /// The next report, if one is due.
     pub fn report(&mut self, now: Millis) -> Option<UsageReport> {
-        if now.since(self.heard_at) >= SILENCE {
-            self.turn_elsewhere(now);
+        if now.since(self.received_at) >= REPLY_TIMEOUT {
+            self.switch_target(now);
         }
         if now.since(self.reported_at) < REPORT_INTERVAL {
             return None;
@@ -51,20 +52,20 @@
         Some(self.meter.report())
     }
 
-    pub fn hear(&mut self, reply: &ControlReply, now: Millis) {
+    pub fn handle_reply(&mut self, reply: &ControlReply, now: Millis) {
         match reply {
             ControlReply::Usage(receipt) => {
-                self.heard_at = now;
-                self.lost += self.meter.take(receipt, now);
+                self.received_at = now;
+                self.late_requests += self.meter.take(receipt, now);
             }
-            ControlReply::NotLeader { .. } => self.turn_elsewhere(now),
+            ControlReply::NotLeader { .. } => self.switch_target(now),
             _ => {}
         }
     }
 
-    fn turn_elsewhere(&mut self, now: Millis) {
-        self.asks += 1;
-        self.heard_at = now;
+    fn switch_target(&mut self, now: Millis) {
+        self.target += 1;
+        self.received_at = now;
         self.reported_at = Millis::ZERO;
     }
 }
--- a/components/control/tests/group_repair/platform.rs
+++ b/components/control/tests/group_repair/platform.rs
@@ -1,5 +1,5 @@
-//! A platform that takes calls, answers some of them late or never, and checks
-//! what must hold of its callers.
+//! A platform that receives calls, answers some of them late or never, and checks the rules
+//! that its callers must keep.
 
 use std::collections::BTreeMap;
 
@@ -8,21 +8,21 @@
 use rand::RngExt;
 use rand_pcg::Pcg64Mcg;
 
-/// Within this time holders must not take turns A, B, A.
-pub const TURNS_WITHIN: Millis = Millis(3000);
+/// Holders A and B must not call in the order A, B, A within this time.
+pub const MIN_RETURN_INTERVAL: Millis = Millis(3000);
 
-/// What becomes of a call.
-enum Fate {
+/// The outcome of a call.
+enum CallOutcome {
     Answered,
-    /// Carried out; the answer is lost.
+    /// Executed; the answer is lost.
     AnswerLost,
-    /// Carried out later, without an answer.
+    /// Executed after a delay, without an answer.
     Late(Millis),
     Throttled,
 }
 
-/// A call that is carried out later than newer ones.
-struct LateCall {
+/// A call that is executed later than newer ones.
+struct DelayedCall {
     due: Millis,
     call: DutyCall,
 }
@@ -30,13 +30,14 @@
 pub struct Platform {
     seed: u64,
     fences_checked: bool,
-    /// What was taken in of each window.
-    pub told: BTreeMap<UsageWindow, WindowCounts>,
+    /// The counts accepted for each window.
+    pub reported: BTreeMap<UsageWindow, WindowCounts>,
     highest_token: u64,
     holders: BTreeMap<u64, usize>,
-    /// Who called, each time with when it did so last; the newest one last.
-    turns: Vec<(usize, Millis)>,
-    late: Vec<LateCall>,
+    /// The machines that called, in order, each with the time of the last call of its
+    /// period; the newest one is last.
+    callers: Vec<(usize, Millis)>,
+    late: Vec<DelayedCall>,
     pub calls: usize,
 }
 
@@ -45,54 +46,54 @@
         Platform {
             seed,
             fences_checked,
-            told: BTreeMap::new(),
+            reported: BTreeMap::new(),
             highest_token: 0,
             holders: BTreeMap::new(),
-            turns: Vec::new(),
+            callers: Vec::new(),
             late: Vec::new(),
             calls: 0,
         }
     }
 
-    /// A call of the machine at `place` arrives. Gives the answer, if one comes.
+    /// Receives a call from a machine. Returns the answer, if one is sent.
     pub fn call(
         &mut self,
-        place: usize,
+        machine: usize,
         call: &DutyCall,
         random: &mut Pcg64Mcg,
         now: Millis,
     ) -> Option<DutyAnswer> {
         self.calls += 1;
-        self.check_holder(place, call.token, now);
-        match fate(random) {
-            Fate::Answered => Some(self.carry_out(call)),
-            Fate::AnswerLost => {
-                self.carry_out(call);
+        self.check_holder(machine, call.token, now);
+        match draw_outcome(random) {
+            CallOutcome::Answered => Some(self.execute(call)),
+            CallOutcome::AnswerLost => {
+                self.execute(call);
                 None
             }
-            Fate::Late(delay) => {
+            CallOutcome::Late(delay) => {
                 let due = now + delay;
                 let call = call.clone();
-                self.late.push(LateCall { due, call });
+                self.late.push(DelayedCall { due, call });
                 None
             }
-            Fate::Throttled => Some(DutyAnswer::Throttled),
+            CallOutcome::Throttled => Some(DutyAnswer::Throttled),
         }
     }
 
-    /// Carries out what is late until now.
+    /// Executes the delayed calls that are due.
     pub fn tick(&mut self, now: Millis) {
         let (due, later) = std::mem::take(&mut self.late)
             .into_iter()
             .partition(|late| late.due <= now);
         self.late = later;
-        let due: Vec<LateCall> = due;
+        let due: Vec<DelayedCall> = due;
         for late in due {
-            self.carry_out(&late.call);
+            self.execute(&late.call);
         }
     }
 
-    fn carry_out(&mut self, call: &DutyCall) -> DutyAnswer {
+    fn execute(&mut self, call: &DutyCall) -> DutyAnswer {
         if self.fences_checked && call.token < self.highest_token {
             return DutyAnswer::Refused;
         }
@@ -100,19 +101,22 @@
         let Duty::Usage { window, counts } = &call.duty else {
             panic!("no engines are bought here");
         };
-        let first = self.told.entry(*window).or_insert_with(|| counts.clone());
+        let first = self
+            .reported
+            .entry(*window)
+            .or_insert_with(|| counts.clone());
         assert_eq!(
             first, counts,
-            "seed {}: window {window} is told twice and differs",
+            "seed {}: window {window} is reported twice and differs",
             self.seed
         );
         DutyAnswer::Done
     }
 
-    fn check_holder(&mut self, place: usize, token: u64, now: Millis) {
-        let holder = *self.holders.entry(token).or_insert(place);
+    fn check_holder(&mut self, machine: usize, token: u64, now: Millis) {
+        let holder = *self.holders.entry(token).or_insert(machine);
         assert_eq!(
-            holder, place,
+            holder, machine,
             "seed {}: two holders of token {token}",
             self.seed
         );
@@ -120,29 +124,29 @@
         if !self.fences_checked {
             assert_eq!(highest, Some(token), "seed {}: a lower token", self.seed);
         }
-        match self.turns.last_mut() {
-            Some((last, at)) if *last == place => *at = now,
-            _ => self.turns.push((place, now)),
+        match self.callers.last_mut() {
+            Some((last, at)) if *last == machine => *at = now,
+            _ => self.callers.push((machine, now)),
         }
-        if let [.., (first, at), _, (third, _)] = self.turns.as_slice()
+        if let [.., (first, at), _, (third, _)] = self.callers.as_slice()
             && first == third
         {
-            let apart = now.since(*at);
+            let interval = now.since(*at);
             assert!(
-                apart >= TURNS_WITHIN,
-                "seed {}: turns within {} ms",
+                interval >= MIN_RETURN_INTERVAL,
+                "seed {}: holders alternate within {} ms",
                 self.seed,
-                apart.0
+                interval.0
             );
         }
     }
 }
 
-fn fate(random: &mut Pcg64Mcg) -> Fate {
+fn draw_outcome(random: &mut Pcg64Mcg) -> CallOutcome {
     match random.random_range(0..10) {
-        0 => Fate::AnswerLost,
-        1 => Fate::Late(Millis(random.random_range(2_000..12_000))),
-        2 => Fate::Throttled,
-        _ => Fate::Answered,
+        0 => CallOutcome::AnswerLost,
+        1 => CallOutcome::Late(Millis(random.random_range(2_000..12_000))),
+        2 => CallOutcome::Throttled,
+        _ => CallOutcome::Answered,
     }
 }
--- a/components/control/tests/group_repair/world.rs
+++ b/components/control/tests/group_repair/world.rs
@@ -1,4 +1,4 @@
-//! Machines, the links between them, an operator, and what befalls them.
+//! The simulated world: machines, the links between them, an operator, and injected faults.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -13,55 +13,55 @@
 use rand_pcg::Pcg64Mcg;
 
 use crate::machines::{Machine, first_group};
-use crate::platform::TURNS_WITHIN;
+use crate::platform::MIN_RETURN_INTERVAL;
 
 mod usage;
 
 use usage::{CALL_TIME, Duties, GATEWAYS, WINDOW};
 
-/// A process that ends leaves what it wrote.
+/// A process that ends loses none of its writes.
 const KEEP_ALL: PowerLoss = PowerLoss::KeepPrefix(1 << 40);
 const STEP: Millis = Millis(10);
 const MACHINES: usize = 5;
 const SEEDS: usize = 3;
-/// The operator writes, and reads, this often.
+/// Interval at which the operator writes and reads.
 const OPERATOR_INTERVAL: Millis = Millis(150);
-/// Until the group is whole again after a trouble has ended.
-const MENDED_WITHIN: Millis = Millis::from_secs(8);
+/// Time in which the group must be repaired after a fault has ended.
+const REPAIR_TIME: Millis = Millis::from_secs(8);
 
-/// What may befall the machines.
+/// A fault of the machines or of their links.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Trouble {
+pub enum Fault {
     KillSome,
     LosePowerEverywhere,
     WipeOne,
     WipeTwo,
     WipeAcknowledgerThenPowerEverywhere,
     Replace,
-    CutMinority,
-    CutOffLeader,
+    IsolateMinority,
+    IsolateLeader,
     FreezeLeader,
-    /// While two are cut off, the others go on; then two of those lose their
-    /// disks just as the cut heals.
-    WipeTwoAsACutHeals,
+    /// Two machines are isolated while the rest continues; then two of the rest lose their
+    /// disks just as the partition heals.
+    WipeTwoAsPartitionHeals,
 }
 
-impl Trouble {
-    pub const ALL: [Trouble; 10] = [
-        Trouble::KillSome,
-        Trouble::LosePowerEverywhere,
-        Trouble::WipeOne,
-        Trouble::WipeTwo,
-        Trouble::WipeAcknowledgerThenPowerEverywhere,
-        Trouble::Replace,
-        Trouble::CutMinority,
-        Trouble::CutOffLeader,
-        Trouble::FreezeLeader,
-        Trouble::WipeTwoAsACutHeals,
+impl Fault {
+    pub const ALL: [Fault; 10] = [
+        Fault::KillSome,
+        Fault::LosePowerEverywhere,
+        Fault::WipeOne,
+        Fault::WipeTwo,
+        Fault::WipeAcknowledgerThenPowerEverywhere,
+        Fault::Replace,
+        Fault::IsolateMinority,
+        Fault::IsolateLeader,
+        Fault::FreezeLeader,
+        Fault::WipeTwoAsPartitionHeals,
     ];
 }
 
-struct UnderWay {
+struct InFlightMessage {
     arrives: Millis,
     from: usize,
     to: usize,
@@ -72,16 +72,16 @@
     seed: u64,
     random: Pcg64Mcg,
     machines: Vec<Machine>,
-    cut_off: BTreeSet<usize>,
-    under_way: Vec<UnderWay>,
+    isolated: BTreeSet<usize>,
+    in_flight: Vec<InFlightMessage>,
     now: Millis,
     version: u64,
     /// Highest version that was acknowledged.
     acknowledged: u64,
     acknowledged_by: usize,
-    asked_at: Millis,
-    drawn: u64,
-    pub struck: usize,
+    last_request_at: Millis,
+    drawn_identity: u64,
+    pub injected: usize,
     pub duties: Option<Duties>,
     duty_settings: Option<DutySettings>,
 }
@@ -91,11 +91,11 @@
         World::with_duties(seed, None)
     }
 
-    /// A world with a platform that is told usage; it checks fences or not.
+    /// A world with a platform that receives usage reports and checks fences or not.
     pub fn with_usage(seed: u64, fences_checked: bool) -> Self {
         let settings = DutySettings {
             fences_checked,
-            turns_within: TURNS_WITHIN,
+            turns_within: MIN_RETURN_INTERVAL,
             call_time: CALL_TIME,
             usage_window: Some(WINDOW),
             buys_engines: false,
@@ -110,80 +110,80 @@
             seed,
             random: Pcg64Mcg::seed_from_u64(seed),
             machines: Vec::new(),
-            cut_off: BTreeSet::new(),
-            under_way: Vec::new(),
+            isolated: BTreeSet::new(),
+            in_flight: Vec::new(),
             now: Millis(1000),
             version: 0,
             acknowledged: 0,
             acknowledged_by: 0,
-            asked_at: Millis::ZERO,
-            drawn: 50_000,
-            struck: 0,
+            last_request_at: Millis::ZERO,
+            drawn_identity: 50_000,
+            injected: 0,
             duty_settings: settings,
             duties: settings.map(|settings| Duties::new(seed, settings.fences_checked)),
         };
         for address in addresses {
-            let drawn = world.draw_identity();
-            let mut machine = Machine::first(address, &group, drawn);
-            machine.give_duties(settings);
+            let drawn_identity = world.draw_identity();
+            let mut machine = Machine::initial(address, &group, drawn_identity);
+            machine.set_duties(settings);
             world.machines.push(machine);
         }
-        for place in 0..GATEWAYS {
-            world.start_gateway(place);
+        for index in 0..GATEWAYS {
+            world.start_gateway(index);
         }
         let mut order: Vec<usize> = (0..MACHINES).collect();
         order.sort_by_key(|_| world.random.random::<u64>());
-        for place in order {
-            world.start(place);
+        for index in order {
+            world.start(index);
             let pause = Millis(world.random.random_range(0..120));
-            world.pass(pause);
+            world.advance(pause);
         }
         world
     }
 
     fn draw_identity(&mut self) -> u64 {
-        self.drawn += 1;
-        self.drawn
+        self.drawn_identity += 1;
+        self.drawn_identity
     }
 
-    fn start(&mut self, place: usize) {
-        let seed = self.seed * 1000 + place as u64;
-        self.machines[place].start(self.now, seed);
+    fn start(&mut self, index: usize) {
+        let seed = self.seed * 1000 + index as u64;
+        self.machines[index].start(self.now, seed);
     }
 
     // ---- Runs ----
 
-    pub fn run(&mut self, troubles: usize, kinds: &[Trouble]) {
-        self.settle();
-        self.check_whole();
-        for _ in 0..troubles {
+    pub fn run(&mut self, faults: usize, kinds: &[Fault]) {
+        self.wait_for_repair();
+        self.check_group();
+        for _ in 0..faults {
             let kind = kinds[self.random.random_range(0..kinds.len())];
             let pause = Millis(self.random.random_range(0..1500));
-            self.pass(pause);
-            self.strike(kind);
-            self.struck += 1;
-            self.settle();
-            self.check_whole();
+            self.advance(pause);
+            self.inject(kind);
+            self.injected += 1;
+            self.wait_for_repair();
+            self.check_group();
         }
     }
 
-    /// Lets the group mend itself.
-    pub fn settle(&mut self) {
-        self.pass(MENDED_WITHIN);
+    /// Advances by the time allowed for the repair of the group.
+    pub fn wait_for_repair(&mut self) {
+        self.advance(REPAIR_TIME);
     }
 
-    /// The group has a leader, its voters, and everything acknowledged.
-    pub fn check_whole(&self) {
+    /// Checks that the group has a leader, all its voters, and everything acknowledged.
+    pub fn check_group(&self) {
         let leader = self.leader();
-        let place = leader.unwrap_or_else(|| panic!("seed {}: no leader", self.seed));
-        let node = self.machines[place].replica().expect("it runs").node();
+        let index = leader.unwrap_or_else(|| panic!("seed {}: no leader", self.seed));
+        let node = self.machines[index].replica().expect("it runs").node();
         let voters: Vec<ReplicaId> = node.membership().voters().collect();
         assert_eq!(voters.len(), 5, "seed {}: voters {voters:?}", self.seed);
         for id in voters {
-            let lives = self.machines.iter().any(|m| m.id() == id && m.acts());
-            assert!(lives, "seed {}: voter {id} is gone", self.seed);
+            let is_alive = self.machines.iter().any(|m| m.id() == id && m.is_active());
+            assert!(is_alive, "seed {}: voter {id} is gone", self.seed);
         }
-        let held = self.version_at(place);
+        let held = self.version_at(index);
         assert!(
             held >= self.acknowledged,
             "seed {}: {held} is held, {} was acknowledged",
@@ -192,92 +192,94 @@
         );
     }
 
-    fn version_at(&self, place: usize) -> u64 {
-        let replica = self.machines[place].replica().expect("it runs");
+    fn version_at(&self, index: usize) -> u64 {
+        let replica = self.machines[index].replica().expect("it runs");
         replica.state().routes_version().unwrap_or(0)
     }
 
     fn leader(&self) -> Option<usize> {
-        (0..self.machines.len()).find(|place| {
-            let machine = &self.machines[*place];
+        (0..self.machines.len()).find(|index| {
+            let machine = &self.machines[*index];
             let leads = |r: &garnet_control::Replica| r.node().holds_lease(self.now);
-            machine.acts() && machine.replica().is_some_and(leads)
+            machine.is_active() && machine.replica().is_some_and(leads)
         })
     }
 
     // ---- Time ----
 
-    fn pass(&mut self, time: Millis) {
+    fn advance(&mut self, time: Millis) {
         let until = self.now + time;
         while self.now < until {
             self.now = self.now + STEP;
             self.deliver();
-            for place in 0..self.machines.len() {
-                if self.machines[place].acts() {
-                    self.event(place, Event::Tick);
-                    self.tell_wish(place);
+            for index in 0..self.machines.len() {
+                if self.machines[index].is_active() {
+                    self.event(index, Event::Tick);
+                    self.send_join_request(index);
                 }
             }
-            self.operate();
-            self.meter();
-            self.answer_calls();
+            self.run_operator();
+            self.run_gateways();
+            self.deliver_call_answers();
         }
     }
 
     fn deliver(&mut self) {
         let now = self.now;
-        let (due, later) = std::mem::take(&mut self.under_way)
+        let (due, later) = std::mem::take(&mut self.in_flight)
             .into_iter()
             .partition(|message| message.arrives <= now);
-        self.under_way = later;
+        self.in_flight = later;
         for message in due {
-            let UnderWay {
+            let InFlightMessage {
                 from, to, event, ..
             } = message;
-            let apart = self.cut_off.contains(&from) != self.cut_off.contains(&to);
-            if !apart && self.machines[to].acts() {
+            let is_blocked = self.isolated.contains(&from) != self.isolated.contains(&to);
+            if !is_blocked && self.machines[to].is_active() {
                 self.event(to, event);
             }
         }
     }
 
-    fn event(&mut self, place: usize, event: Event) {
-        let effects = self.machines[place].handle(event, self.now);
+    fn event(&mut self, index: usize, event: Event) {
+        let effects = self.machines[index].handle(event, self.now);
         for effect in effects {
-            self.effect(place, effect);
+            self.effect(index, effect);
         }
     }
 
-    fn effect(&mut self, place: usize, effect: Effect) {
+    fn effect(&mut self, index: usize, effect: Effect) {
         match effect {
             Effect::SendPeer(envelope) => {
-                // A replica that is not known yet told its address itself.
+                // A replica that is not a member yet sent its address itself.
                 let to = self
                     .machines
                     .iter()
-                    .position(|m| m.id() == envelope.to && !m.gone);
-                self.send(place, to, Event::Peer(envelope));
+                    .position(|m| m.id() == envelope.to && !m.removed);
+                self.send(index, to, Event::Peer(envelope));
             }
             Effect::ForwardJoin { address, request } => {
-                let to = self.place_of(&address);
-                self.send(place, to, Event::Join(request));
+                let to = self.index_of(&address);
+                self.send(index, to, Event::Join(request));
             }
-            Effect::AnswerOperator { ticket, answer } => self.answered(place, ticket, answer),
-            Effect::CallPlatform(call) => self.call_platform(place, call),
-            Effect::ReplyGateway { connection, reply } => self.tell_gateway(connection, &reply),
+            Effect::AnswerOperator { ticket, answer } => {
+                self.on_operator_answer(index, ticket, answer)
+            }
+            Effect::CallPlatform(call) => self.call_platform(index, call),
+            Effect::ReplyGateway { connection, reply } => self.reply_to_gateway(connection, &reply),
             _ => {}
         }
     }
 
-    fn place_of(&self, address: &str) -> Option<usize> {
-        let is_there = |m: &Machine| m.address == address && !m.gone;
-        self.machines.iter().position(is_there)
+    fn index_of(&self, address: &str) -> Option<usize> {
+        let has_address = |m: &Machine| m.address == address && !m.removed;
+        self.machines.iter().position(has_address)
     }
 
     fn send(&mut self, from: usize, to: Option<usize>, event: Event) {
         if let Some(to) = to {
             let delay = Millis(self.random.random_range(1..15));
-            self.under_way.push(UnderWay {
+            self.in_flight.push(InFlightMessage {
                 arrives: self.now + delay,
                 from,
                 to,
@@ -286,25 +288,25 @@
         }
     }
 
-    fn tell_wish(&mut self, place: usize) {
+    fn send_join_request(&mut self, index: usize) {
         let seeds: Vec<String> = (0..SEEDS).map(|n| format!("m{n}")).collect();
         let now = self.now;
-        if let Some((request, targets)) = self.machines[place].wish(&seeds, now) {
+        if let Some((request, targets)) = self.machines[index].join_request(&seeds, now) {
             for target in targets {
-                let to = self.place_of(&target);
-                self.send(place, to, Event::Join(request.clone()));
+                let to = self.index_of(&target);
+                self.send(index, to, Event::Join(request.clone()));
             }
         }
     }
 
     // ---- The operator ----
 
-    /// Writes a new version and reads, at each machine: whoever leads answers.
-    fn operate(&mut self) {
-        if self.now.since(self.asked_at) < OPERATOR_INTERVAL {
+    /// Writes a new version and reads, at each machine; only the leader answers.
+    fn run_operator(&mut self) {
+        if self.now.since(self.last_request_at) < OPERATOR_INTERVAL {
             return;
         }
-        self.asked_at = self.now;
+        self.last_request_at = self.now;
         self.version += 1;
         let table = RouteTable {
             version: self.version,
@@ -317,23 +319,23 @@
         let envelope = CommandEnvelope::unnamed(command, self.now);
         let wait = false;
         let ticket = self.version;
-        for place in 0..self.machines.len() {
-            if !self.machines[place].acts() {
+        for index in 0..self.machines.len() {
+            if !self.machines[index].is_active() {
                 continue;
             }
             let request = OperatorRequest::Routes;
-            self.event(place, Event::Operator { ticket: 0, request });
+            self.event(index, Event::Operator { ticket: 0, request });
             let envelope = envelope.clone();
             let request = OperatorRequest::Command { envelope, wait };
-            self.event(place, Event::Operator { ticket, request });
+            self.event(index, Event::Operator { ticket, request });
         }
     }
 
-    fn answered(&mut self, place: usize, ticket: u64, answer: OperatorAnswer) {
+    fn on_operator_answer(&mut self, index: usize, ticket: u64, answer: OperatorAnswer) {
         match answer {
             OperatorAnswer::Committed { .. } if ticket > self.acknowledged => {
                 self.acknowledged = ticket;
-                self.acknowledged_by = place;
+                self.acknowledged_by = index;
             }
             OperatorAnswer::Routes(document) => {
                 let read: u64 = document.map_or(0, |text| text.parse().expect("a number"));
@@ -348,123 +350,123 @@
         }
     }
 
-    // ---- Troubles ----
+    // ---- Faults ----
 
-    fn strike(&mut self, kind: Trouble) {
+    fn inject(&mut self, kind: Fault) {
         match kind {
-            Trouble::KillSome => self.kill_some(),
-            Trouble::LosePowerEverywhere => self.restart_all(PowerLoss::DropUnsynced),
-            Trouble::WipeOne => self.wipe(1),
-            Trouble::WipeTwo => self.wipe(2),
-            Trouble::WipeAcknowledgerThenPowerEverywhere => {
-                let drawn = self.draw_identity();
-                let place = self.acknowledged_by;
-                if !self.machines[place].gone {
-                    self.machines[place].wipe(drawn);
+            Fault::KillSome => self.kill_some(),
+            Fault::LosePowerEverywhere => self.restart_all(PowerLoss::DropUnsynced),
+            Fault::WipeOne => self.wipe(1),
+            Fault::WipeTwo => self.wipe(2),
+            Fault::WipeAcknowledgerThenPowerEverywhere => {
+                let drawn_identity = self.draw_identity();
+                let index = self.acknowledged_by;
+                if !self.machines[index].removed {
+                    self.machines[index].wipe(drawn_identity);
                 }
                 self.restart_all(PowerLoss::DropUnsynced);
             }
-            Trouble::Replace => self.replace(),
-            Trouble::CutMinority => {
-                let places = self.some_running(2);
-                self.cut_off.extend(places);
-                self.pass(Millis(6000));
-                self.cut_off.clear();
+            Fault::Replace => self.replace(),
+            Fault::IsolateMinority => {
+                let indices = self.random_running(2);
+                self.isolated.extend(indices);
+                self.advance(Millis(6000));
+                self.isolated.clear();
             }
-            Trouble::CutOffLeader => {
-                self.cut_off.extend(self.leader());
-                self.pass(Millis(4000));
-                self.cut_off.clear();
+            Fault::IsolateLeader => {
+                self.isolated.extend(self.leader());
+                self.advance(Millis(4000));
+                self.isolated.clear();
             }
-            Trouble::WipeTwoAsACutHeals => self.wipe_two_as_a_cut_heals(),
-            Trouble::FreezeLeader => {
-                if let Some(place) = self.leader() {
-                    self.machines[place].frozen = true;
-                    self.pass(Millis(3000));
-                    self.machines[place].frozen = false;
+            Fault::WipeTwoAsPartitionHeals => self.wipe_two_as_partition_heals(),
+            Fault::FreezeLeader => {
+                if let Some(index) = self.leader() {
+                    self.machines[index].frozen = true;
+                    self.advance(Millis(3000));
+                    self.machines[index].frozen = false;
                 }
             }
         }
     }
 
-    fn some_running(&mut self, count: usize) -> Vec<usize> {
-        let running = |place: &usize| self.machines[*place].acts();
-        let mut places: Vec<usize> = (0..self.machines.len()).filter(running).collect();
-        places.sort_by_key(|_| self.random.random::<u64>());
-        places.truncate(count);
-        places
+    fn random_running(&mut self, count: usize) -> Vec<usize> {
+        let running = |index: &usize| self.machines[*index].is_active();
+        let mut indices: Vec<usize> = (0..self.machines.len()).filter(running).collect();
+        indices.sort_by_key(|_| self.random.random::<u64>());
+        indices.truncate(count);
+        indices
     }
 
     fn kill_some(&mut self) {
         let count = self.random.random_range(1..4);
-        let places = self.some_running(count);
-        for place in &places {
-            self.machines[*place].stop(KEEP_ALL);
+        let indices = self.random_running(count);
+        for index in &indices {
+            self.machines[*index].stop(KEEP_ALL);
         }
-        self.pass(Millis(1000));
-        for place in places {
-            self.start(place);
+        self.advance(Millis(1000));
+        for index in indices {
+            self.start(index);
         }
     }
 
     fn restart_all(&mut self, loss: PowerLoss) {
-        let places = self.some_running(usize::MAX);
-        for place in &places {
-            self.machines[*place].stop(loss);
+        let indices = self.random_running(usize::MAX);
+        for index in &indices {
+            self.machines[*index].stop(loss);
         }
-        self.pass(Millis(800));
-        let stopped = |m: &Machine| !m.gone && m.replica().is_none();
+        self.advance(Millis(800));
+        let stopped = |m: &Machine| !m.removed && m.replica().is_none();
         let all: Vec<usize> = (0..self.machines.len())
-            .filter(|place| stopped(&self.machines[*place]))
+            .filter(|index| stopped(&self.machines[*index]))
             .collect();
-        for place in all {
-            self.start(place);
+        for index in all {
+            self.start(index);
         }
     }
 
     fn wipe(&mut self, count: usize) {
-        let places = self.some_running(count);
-        for place in &places {
-            let drawn = self.draw_identity();
-            self.machines[*place].wipe(drawn);
+        let indices = self.random_running(count);
+        for index in &indices {
+            let drawn_identity = self.draw_identity();
+            self.machines[*index].wipe(drawn_identity);
         }
-        self.pass(Millis(800));
-        for place in places {
-            self.start(place);
+        self.advance(Millis(800));
+        for index in indices {
+            self.start(index);
         }
     }
 
-    fn wipe_two_as_a_cut_heals(&mut self) {
+    fn wipe_two_as_partition_heals(&mut self) {
         let leader = self.leader();
-        let mut others = self.some_running(usize::MAX);
-        others.retain(|place| Some(*place) != leader);
-        self.cut_off.extend(others.iter().take(2));
-        self.pass(Millis(5000));
-        let wiped: Vec<usize> = leader.into_iter().chain(others.get(2).copied()).collect();
-        for place in &wiped {
-            let drawn = self.draw_identity();
-            self.machines[*place].wipe(drawn);
+        let mut peers = self.random_running(usize::MAX);
+        peers.retain(|index| Some(*index) != leader);
+        self.isolated.extend(peers.iter().take(2));
+        self.advance(Millis(5000));
+        let wiped: Vec<usize> = leader.into_iter().chain(peers.get(2).copied()).collect();
+        for index in &wiped {
+            let drawn_identity = self.draw_identity();
+            self.machines[*index].wipe(drawn_identity);
         }
-        self.cut_off.clear();
-        self.pass(Millis(300));
-        for place in wiped {
-            self.start(place);
+        self.isolated.clear();
+        self.advance(Millis(300));
+        for index in wiped {
+            self.start(index);
         }
     }
 
     fn replace(&mut self) {
-        // Seeds stay, so that an empty machine finds the group.
-        let is_other = |place: &usize| *place >= SEEDS && self.machines[*place].acts();
-        let Some(place) = (0..self.machines.len()).find(is_other) else {
+        // Seeds are not replaced, so that an empty machine finds the group.
+        let is_replaceable = |index: &usize| *index >= SEEDS && self.machines[*index].is_active();
+        let Some(index) = (0..self.machines.len()).find(is_replaceable) else {
             return;
         };
-        self.machines[place].stop(KEEP_ALL);
-        self.machines[place].gone = true;
-        self.pass(Millis(1000));
-        let drawn = self.draw_identity();
+        self.machines[index].stop(KEEP_ALL);
+        self.machines[index].removed = true;
+        self.advance(Millis(1000));
+        let drawn_identity = self.draw_identity();
         let address = format!("m{}", self.machines.len());
-        let mut machine = Machine::empty(address, drawn);
-        machine.give_duties(self.duty_settings);
+        let mut machine = Machine::empty(address, drawn_identity);
+        machine.set_duties(self.duty_settings);
         self.machines.push(machine);
         self.start(self.machines.len() - 1);
     }
--- a/components/control/tests/state/balancing.rs
+++ b/components/control/tests/state/balancing.rs
@@ -90,9 +90,9 @@
 fn stated(leader: &mut Leader, lists: &[Vec<MachineEntry>], watched: &Event) -> Vec<EngineRole> {
     let mut roles = Vec::new();
     for list in lists {
-        leader.take(Event::Machines(list.clone()));
+        leader.handle_event(Event::Machines(list.clone()));
         for _ in 0..4 {
-            leader.take(watched.clone());
+            leader.handle_event(watched.clone());
             let happened = leader.run(Millis(250));
             roles.extend(happened.into_iter().filter_map(|effect| match effect {
                 Effect::Balanced { assignment, .. } => Some(assignment.role),
@@ -331,7 +331,7 @@
     let lists: Vec<_> = (0..6).map(|_| list(6)).collect();
     assert_eq!(stated(&mut leader, &lists, &watch(4_000, 6)), []);
     for number in 6..9 {
-        leader.take(limited(number, Some("1")));
+        leader.handle_event(limited(number, Some("1")));
     }
     let roles = stated(&mut leader, &lists, &watch(4_000, 6));
     assert_eq!(roles.first(), Some(&EngineRole::Mixed));
--- a/components/control/tests/state/copies.rs
+++ b/components/control/tests/state/copies.rs
@@ -99,7 +99,7 @@
     let mut leader = leader();
     watch(&mut leader, "a", copies(0..2));
     leader.now = leader.now + Millis(20_001);
-    leader.take(Event::Tick);
+    leader.handle_event(Event::Tick);
     assert_eq!(watch(&mut leader, "b", copies(2..3)), []);
     assert_eq!(watch(&mut leader, "a", Vec::new()), copies(2..3));
 }
--- a/components/control/tests/state/duties.rs
+++ b/components/control/tests/state/duties.rs
@@ -37,13 +37,13 @@
 fn window_of(call: &DutyCall) -> (u64, &WindowCounts) {
     match &call.duty {
         Duty::Usage { window, counts } => (window.0, counts),
-        other => panic!("{other:?} tells no usage"),
+        other => panic!("{other:?} reports no usage"),
     }
 }
 
-fn tell(leader: &mut Leader, report: UsageReport) {
+fn send_usage(leader: &mut Leader, report: UsageReport) {
     let request = GatewayRequest::Usage(report);
-    leader.take(Event::Gateway {
+    leader.handle_event(Event::Gateway {
         connection: 1,
         request,
     });
@@ -51,10 +51,10 @@
 
 fn answer(leader: &mut Leader, call: &DutyCall, answer: DutyAnswer) {
     let call = call.clone();
-    leader.take(Event::DutyAnswered { call, answer });
+    leader.handle_event(Event::DutyAnswered { call, answer });
 }
 
-/// Lets the leader run until it calls.
+/// Runs the leader until it makes a call, and returns the call.
 fn next_call(leader: &mut Leader) -> DutyCall {
     for _ in 0..2_000 {
         let made = calls(leader.run(Millis(50)));
@@ -65,7 +65,7 @@
     panic!("it never calls");
 }
 
-/// The call that tells of `window`; all before it are answered.
+/// The call that reports `window`; all earlier calls are answered.
 fn call_for(leader: &mut Leader, window: u64) -> DutyCall {
     loop {
         let call = next_call(leader);
@@ -76,32 +76,32 @@
     }
 }
 
-/// A log in which this replica and others held the duties before.
+/// A log of tenures that these replicas held before, in this order.
 fn held_by(holders: &[u64]) -> Vec<Command> {
     let begin = |id: &u64| Command::BeginTenure(ReplicaId(*id));
     holders.iter().map(begin).collect()
 }
 
 #[test]
-fn a_window_is_told_after_its_end_with_what_was_counted() {
+fn a_window_is_reported_after_its_end_with_its_counts() {
     let mut leader = Leader::elected(settings(true), Vec::new());
     leader.run(Millis(1000));
     let window = leader.now.0 / WINDOW.0;
-    tell(&mut leader, report("g1", 1, &[(window, "one", 3)]));
+    send_usage(&mut leader, report("g1", 1, &[(window, "one", 3)]));
     let call = call_for(&mut leader, window);
-    let (told, counts) = window_of(&call);
-    assert_eq!(told, window);
+    let (reported, counts) = window_of(&call);
+    assert_eq!(reported, window);
     assert_eq!(counts.get(&TenantId::new("one")), Some(&3));
     let late = leader.now.since(UsageWindow(window).end(WINDOW));
     assert!(
         late < Millis::from_secs(5),
-        "told {} ms after its end",
+        "reported {} ms after its end",
         late.0
     );
 }
 
-/// An unanswered call is repeated with the same content, whatever gateways
-/// count meanwhile.
+/// A failed call is repeated with the same content, even if gateways report more requests
+/// in the meantime.
 #[rstest]
 #[case::unanswered(DutyAnswer::Unknown, true)]
 #[case::throttled(DutyAnswer::Throttled, true)]
@@ -110,9 +110,9 @@
     let mut leader = Leader::elected(settings(true), Vec::new());
     leader.run(Millis(1000));
     let window = leader.now.0 / WINDOW.0;
-    tell(&mut leader, report("g1", 1, &[(window, "one", 3)]));
+    send_usage(&mut leader, report("g1", 1, &[(window, "one", 3)]));
     let first = call_for(&mut leader, window);
-    tell(&mut leader, report("g1", 2, &[(window, "one", 9)]));
+    send_usage(&mut leader, report("g1", 2, &[(window, "one", 9)]));
     answer(&mut leader, &first, end);
     let second = next_call(&mut leader);
     assert_eq!(first.duty, second.duty);
@@ -120,10 +120,10 @@
     assert!(second.token >= first.token);
     answer(&mut leader, &second, DutyAnswer::Done);
     let third = next_call(&mut leader);
-    assert!(window_of(&third).0 > window, "it is told once more");
+    assert!(window_of(&third).0 > window, "it is reported once more");
 }
 
-/// A call whose end nobody hears of holds nothing up.
+/// A call whose end is never reported must not block later calls.
 #[test]
 fn a_call_that_never_ends_is_repeated() {
     let mut leader = Leader::elected(settings(true), Vec::new());
@@ -132,16 +132,15 @@
     assert_eq!(first.duty, second.duty);
 }
 
-/// How long a new holder waits: `None` for no longer than one who never had a
-/// predecessor.
+/// How long a new holder of the duties waits before it begins its tenure.
 #[rstest]
-#[case::nobody(true, &[], 0)]
-#[case::itself(false, &[1], 0)]
-#[case::another_checked(true, &[2], 0)]
-#[case::another_unchecked(false, &[2], 2_000)]
-#[case::turns_checked(true, &[1, 2], 3_500)]
-#[case::turns_unchecked(false, &[1, 2], 3_500)]
-#[case::turns_of_three(true, &[1, 2, 3], 3_500)]
+#[case::no_predecessor(true, &[], 0)]
+#[case::same_holder(false, &[1], 0)]
+#[case::other_holder_checked(true, &[2], 0)]
+#[case::other_holder_unchecked(false, &[2], 2_000)]
+#[case::alternating_checked(true, &[1, 2], 3_500)]
+#[case::alternating_unchecked(false, &[1, 2], 3_500)]
+#[case::alternating_three(true, &[1, 2, 3], 3_500)]
 fn a_new_holder_waits_for_its_predecessor(
     #[case] fences_checked: bool,
     #[case] holders: &[u64],
@@ -149,11 +148,11 @@
 ) {
     let mut leader = Leader::elected(settings(fences_checked), held_by(holders));
     let led_since = leader.now;
-    let begins = |leader: &Leader| {
+    let has_tenure = |leader: &Leader| {
         let present = leader.replica.state().tenures.present();
         present.is_some_and(|tenure| tenure.token > holders.len() as u64)
     };
-    while !begins(&leader) {
+    while !has_tenure(&leader) {
         leader.run(Millis(50));
         assert!(
             leader.now.since(led_since) < Millis::from_secs(10),
@@ -166,7 +165,7 @@
 }
 
 #[test]
-fn a_call_leaves_only_under_the_present_token() {
+fn a_call_is_sent_only_under_the_current_token() {
     let mut leader = Leader::elected(settings(true), Vec::new());
     let call = next_call(&mut leader);
     let may_call =
@@ -181,7 +180,7 @@
 #[test]
 fn without_duties_nothing_is_logged() {
     let mut leader = Leader::elected(Leader::settings(), Vec::new());
-    // The entry that begins its term.
+    // The entry that begins the term is committed first.
     leader.run(Millis::from_secs(1));
     let before = leader.replica.node().status().commit_index;
     assert_eq!(calls(leader.run(Millis::from_secs(20))), []);
--- a/components/control/tests/state/fleet_size.rs
+++ b/components/control/tests/state/fleet_size.rs
@@ -94,7 +94,7 @@
     /// Lets some seconds pass; orders are carried out at once.
     fn run(&mut self, seconds: u64) {
         for _ in 0..seconds {
-            self.leader.take(Event::Machines(self.list()));
+            self.leader.handle_event(Event::Machines(self.list()));
             let effects = self.leader.run(STEP);
             for effect in effects {
                 if let Effect::CallPlatform(call) = effect {
@@ -123,7 +123,8 @@
             self.engines.insert((place, *kind), *engines);
         }
         self.calls.push(call.clone());
-        self.leader.take(Event::DutyAnswered { call, answer });
+        self.leader
+            .handle_event(Event::DutyAnswered { call, answer });
     }
 
     fn count(&self, kind: EngineKind) -> Vec<u32> {
--- a/components/control/tests/state/group.rs
+++ b/components/control/tests/state/group.rs
@@ -1,4 +1,4 @@
-//! How the leader mends the group: the next step, from what it sees.
+//! How the leader repairs the group: the next step, given the state of the members.
 
 use garnet_control::{GroupSettings, GroupStep, JoinRequest, MemberFacts, next_step};
 use garnet_types::{Millis, ReplicaId};
@@ -32,7 +32,7 @@
     }
 }
 
-fn asks(id: u64, address: u64) -> JoinRequest {
+fn join_request(id: u64, address: u64) -> JoinRequest {
     JoinRequest {
         id: ReplicaId(id),
         peer_address: format!("10.0.0.{address}:7380"),
@@ -45,18 +45,18 @@
 }
 
 #[rstest]
-#[case::whole(voters(&[1, 2, 3, 4, 5]), vec![], None)]
-#[case::asks_to_join(voters(&[1, 2, 3]), vec![asks(4, 4)], Some(GroupStep::Admit(asks(4, 4))))]
-#[case::already_a_member(voters(&[1, 2, 3]), vec![asks(3, 3)], None)]
+#[case::complete(voters(&[1, 2, 3, 4, 5]), vec![], None)]
+#[case::asks_to_join(voters(&[1, 2, 3]), vec![join_request(4, 4)], Some(GroupStep::Admit(join_request(4, 4))))]
+#[case::already_a_member(voters(&[1, 2, 3]), vec![join_request(3, 3)], None)]
 #[case::caught_up([voters(&[1, 2, 3]), vec![learner(4, true)]].concat(), vec![], Some(GroupStep::Promote(ReplicaId(4))))]
 #[case::behind([voters(&[1, 2, 3]), vec![learner(4, false)]].concat(), vec![], None)]
 #[case::enough_voters([voters(&[1, 2, 3, 4, 5]), vec![learner(6, true)]].concat(), vec![], None)]
-#[case::lost_its_disk(voters(&[1, 2, 3, 4, 5]), vec![asks(99, 5)], Some(GroupStep::Remove(ReplicaId(5))))]
-#[case::silent_with_nobody_ready([voters(&[1, 2, 3, 4]), vec![silent(5, 60_000)]].concat(), vec![], None)]
+#[case::lost_its_disk(voters(&[1, 2, 3, 4, 5]), vec![join_request(99, 5)], Some(GroupStep::Remove(ReplicaId(5))))]
+#[case::silent_without_a_replacement([voters(&[1, 2, 3, 4]), vec![silent(5, 60_000)]].concat(), vec![], None)]
 #[case::silent_with_a_learner_behind([voters(&[1, 2, 3, 4]), vec![silent(5, 60_000), learner(6, false)]].concat(), vec![], None)]
 #[case::silent_and_replaced([voters(&[1, 2, 3, 4]), vec![silent(5, 60_000), learner(6, true)]].concat(), vec![], Some(GroupStep::Remove(ReplicaId(5))))]
 #[case::silent_for_a_moment([voters(&[1, 2, 3, 4]), vec![silent(5, 1_000), learner(6, true)]].concat(), vec![], None)]
-#[case::forgotten_learner([voters(&[1, 2, 3, 4, 5]), vec![MemberFacts { silent_for: Millis(60_000), ..learner(6, true) }]].concat(), vec![], Some(GroupStep::Remove(ReplicaId(6))))]
+#[case::silent_learner([voters(&[1, 2, 3, 4, 5]), vec![MemberFacts { silent_for: Millis(60_000), ..learner(6, true) }]].concat(), vec![], Some(GroupStep::Remove(ReplicaId(6))))]
 fn the_next_step(
     #[case] members: Vec<MemberFacts>,
     #[case] candidates: Vec<JoinRequest>,
--- a/components/control/tests/state/last_known.rs
+++ b/components/control/tests/state/last_known.rs
@@ -22,7 +22,7 @@
 
 /// What a gateway that works by `configuration_index` hears.
 fn ask(replica: &mut Leader, configuration_index: u64) -> Option<Shared<Configuration>> {
-    let request = replica.watch_of("g", configuration_index);
+    let request = replica.watch_request("g", configuration_index);
     let mut replies = replica.replies(1, request).into_iter();
     let heard = replies.find_map(|reply| match reply {
         ControlReply::NotLeader { last_known, .. } => Some(last_known),
--- a/components/control/tests/state/leader.rs
+++ b/components/control/tests/state/leader.rs
@@ -1,4 +1,4 @@
-//! A replica that leads a group of its own, driven in virtual time.
+//! A test harness for a replica that leads its own group, driven in virtual time.
 
 use garnet_consensus::{Config, Entry, EntryPayload, HardState, Member, Membership, Restored};
 use garnet_control::{
@@ -14,20 +14,20 @@
     pub now: Millis,
 }
 
-/// A group of the replica and `others` that never start.
-fn group(id: ReplicaId, others: u64) -> Membership {
+/// A group of the replica and `peers` other members that never start.
+fn group(id: ReplicaId, peers: u64) -> Membership {
     let member = || Member {
         peer_address: "10.0.0.1:7380".into(),
         admin_address: "10.0.0.1:8144".into(),
         voter: true,
     };
-    let members = (0..=others).map(|other| (ReplicaId(id.0 + other), member()));
+    let members = (0..=peers).map(|offset| (ReplicaId(id.0 + offset), member()));
     Membership {
         members: members.collect(),
     }
 }
 
-/// A command as an entry of a version.
+/// Encodes a command as an entry of a version.
 pub fn encoded(command: Command, version: EncodingVersion) -> Vec<u8> {
     let envelope = CommandEnvelope::unnamed(command, Millis(5));
     encode_entry(&envelope, version).expect("a command of the version")
@@ -41,21 +41,21 @@
     }
 }
 
-fn in_present_version(commands: Vec<Command>) -> Vec<Vec<u8>> {
+fn in_current_version(commands: Vec<Command>) -> Vec<Vec<u8>> {
     let version = EncodingVersion::CURRENT;
     let entries = commands.into_iter();
     entries.map(|command| encoded(command, version)).collect()
 }
 
 impl Leader {
-    /// Starts again with these commands in its log, and leads from then on.
-    /// What it has committed is not applied yet.
+    /// Restarts a replica with these commands in its log, and elects it. The committed
+    /// commands are not applied yet.
     pub fn elected(settings: ReplicaSettings, commands: Vec<Command>) -> Self {
-        Leader::elected_after(settings, in_present_version(commands))
+        Leader::elected_with_entries(settings, in_current_version(commands))
     }
 
-    /// The same with these entries in its log.
-    pub fn elected_after(settings: ReplicaSettings, entries: Vec<Vec<u8>>) -> Self {
+    /// Does the same as [`Self::elected`] with encoded entries in the log.
+    pub fn elected_with_entries(settings: ReplicaSettings, entries: Vec<Vec<u8>>) -> Self {
         let mut leader = Leader::start(settings, entries, 0, 0);
         while !leader.replica.node().is_leader() {
             leader.now = leader.now + STEP;
@@ -64,17 +64,18 @@
         leader
     }
 
-    /// Starts again with these commands in its log, of which it knows
-    /// `commit_index` to be committed. The two others of its group never start.
+    /// Restarts a replica with these commands in its log, of which those up to
+    /// `commit_index` are known to be committed. The two other members of its group never
+    /// start.
     pub fn restarted(settings: ReplicaSettings, commands: Vec<Command>, commit_index: u64) -> Self {
-        Leader::start(settings, in_present_version(commands), commit_index, 2)
+        Leader::start(settings, in_current_version(commands), commit_index, 2)
     }
 
     fn start(
         settings: ReplicaSettings,
         entries: Vec<Vec<u8>>,
         commit_index: u64,
-        others: u64,
+        peers: u64,
     ) -> Self {
         let id = settings.consensus.id;
         let entries = (1..).zip(entries).map(|(index, bytes)| entry(index, bytes));
@@ -85,11 +86,11 @@
             },
             entries: entries.collect(),
             commit_index,
-            initial_membership: group(id, others),
+            initial_membership: group(id, peers),
             ..Restored::default()
         };
         let now = Millis(1000);
-        let replica = Replica::new(settings, restored, now).expect("a sound disk");
+        let replica = Replica::new(settings, restored, now).expect("a healthy disk");
         Leader { replica, now }
     }
 
@@ -97,9 +98,9 @@
         ReplicaSettings::new(Config::new(ReplicaId(1), 1))
     }
 
-    /// The question of a gateway that works by the configuration at this index and
-    /// has nothing to tell.
-    pub fn watch_of(&self, gateway: &str, configuration_index: u64) -> GatewayRequest {
+    /// The watch request of a gateway that has the configuration at this index and nothing
+    /// to report.
+    pub fn watch_request(&self, gateway: &str, configuration_index: u64) -> GatewayRequest {
         GatewayRequest::Watch {
             gateway: GatewayId::new(gateway),
             configuration_index,
@@ -112,28 +113,28 @@
         }
     }
 
-    /// Makes one round of work durable.
+    /// Persists one batch of pending work.
     pub fn persist_once(&mut self) {
         let ready = self.replica.ready();
         self.replica.persisted(ready, self.now);
     }
 
-    /// Makes all work durable.
+    /// Persists all pending work.
     pub fn persist(&mut self) {
         while self.replica.has_ready() {
             self.persist_once();
         }
     }
 
-    /// Takes an event now and gives what follows from it at once.
-    pub fn take(&mut self, event: Event) -> Vec<Effect> {
+    /// Handles an event now and returns its immediate effects.
+    pub fn handle_event(&mut self, event: Event) -> Vec<Effect> {
         self.replica.handle(event, self.now);
         self.replica.take_effects()
     }
 
-    /// What a gateway's request on a connection is answered with, in its order.
+    /// The replies to a gateway's request on a connection, in order.
     pub fn replies(&mut self, connection: u64, request: GatewayRequest) -> Vec<ControlReply> {
-        let effects = self.take(Event::Gateway {
+        let effects = self.handle_event(Event::Gateway {
             connection,
             request,
         });
@@ -144,7 +145,7 @@
         effects.into_iter().filter_map(reply).collect()
     }
 
-    /// Lets time pass and gives what happened.
+    /// Advances the time and returns the effects.
     pub fn run(&mut self, time: Millis) -> Vec<Effect> {
         let until = self.now + time;
         let mut effects = Vec::new();
--- a/components/control/tests/state/level.rs
+++ b/components/control/tests/state/level.rs
@@ -1,4 +1,4 @@
-//! Logs of several versions, and when the level rises.
+//! Logs of several encoding versions, and when the level rises.
 
 use std::sync::Arc;
 
@@ -43,16 +43,16 @@
     }
 }
 
-/// The leader of a log that a build of version 11 began.
+/// A leader whose log was started by a build of version 11.
 fn leader_after_version_11() -> Leader {
     let entries = vec![encoded(put(1), EncodingVersion::V11)];
-    let mut leader = Leader::elected_after(Leader::settings(), entries);
+    let mut leader = Leader::elected_with_entries(Leader::settings(), entries);
     leader.persist();
     let _started = leader.replica.take_effects();
     leader
 }
 
-fn ask(leader: &mut Leader, request: OperatorRequest) -> Option<OperatorAnswer> {
+fn answer_to(leader: &mut Leader, request: OperatorRequest) -> Option<OperatorAnswer> {
     let ticket = TICKET;
     leader
         .replica
@@ -65,13 +65,13 @@
     })
 }
 
-fn order(leader: &mut Leader, command: Command) -> Option<OperatorAnswer> {
+fn submit(leader: &mut Leader, command: Command) -> Option<OperatorAnswer> {
     let envelope = CommandEnvelope::unnamed(command, Millis::ZERO);
     let wait = false;
-    ask(leader, OperatorRequest::Command { envelope, wait })
+    answer_to(leader, OperatorRequest::Command { envelope, wait })
 }
 
-fn pass(leader: &mut Leader, time: Millis) {
+fn advance(leader: &mut Leader, time: Millis) {
     let until = leader.now + time;
     while leader.now < until {
         leader.now = leader.now + Millis(100);
@@ -82,23 +82,24 @@
 
 fn open_gateway(leader: &mut Leader, version: EncodingVersion) {
     let connection = CONNECTION;
-    leader.take(Event::GatewayOpened {
+    leader.handle_event(Event::GatewayOpened {
         connection,
         version,
     });
 }
 
-/// A state without an entry that can't be read answers with what was replaced, and is kept in a snapshot.
+/// A replica that skipped an entry it can't read would answer with replaced data and keep
+/// it in a snapshot.
 #[test]
 fn an_entry_of_a_later_build_is_not_skipped() {
     let later = EncodingVersion(EncodingVersion::CURRENT.0 + 1);
     let mut entry = encoded(put(2), EncodingVersion::CURRENT);
     entry[0] = u8::try_from(later.0).expect("a byte");
-    let present = EncodingVersion::CURRENT;
-    let entries = vec![encoded(put(1), present), entry, encoded(put(3), present)];
+    let current = EncodingVersion::CURRENT;
+    let entries = vec![encoded(put(1), current), entry, encoded(put(3), current)];
     let mut settings = Leader::settings();
     settings.snapshot_every = 1;
-    let mut leader = Leader::elected_after(settings, entries);
+    let mut leader = Leader::elected_with_entries(settings, entries);
     leader.persist();
     let halted = leader.replica.halted().expect("it halts");
     assert_eq!(halted.index, 2);
@@ -113,16 +114,16 @@
     assert!(effects.iter().any(is_reported));
     assert_eq!(leader.replica.state().routes_version(), Some(1));
     assert!(leader.replica.take_snapshot().is_none());
-    let answer = ask(&mut leader, OperatorRequest::Routes);
+    let answer = answer_to(&mut leader, OperatorRequest::Routes);
     assert_eq!(answer, Some(OperatorAnswer::NotLeader(None)));
-    pass(&mut leader, Millis::from_secs(30));
+    advance(&mut leader, Millis::from_secs(30));
     assert!(!leader.replica.node().is_leader());
     assert_eq!(leader.replica.state().routes_version(), Some(1));
 }
 
-/// Claims of an entry read in the wrong version are forgotten or given back.
+/// A claim decoded in the wrong version would be dropped or released.
 #[test]
-fn an_entry_that_two_versions_read_differently_is_not_guessed_at() {
+fn an_entry_that_two_versions_decode_differently_halts_the_replica() {
     let claim = garnet_control::ClaimCommand {
         tenant: TenantId::new("one"),
         key: garnet_types::IdempotencyKey::new("key"),
@@ -132,62 +133,63 @@
             request: garnet_types::RequestId(1),
         },
     };
-    // Version 11 reads the claim of version 16 as its release.
+    // Version 11 decodes a claim of version 16 as its release.
     let entries = vec![encoded(Command::Claim(claim), EncodingVersion::V16)];
-    let mut leader = Leader::elected_after(Leader::settings(), entries);
+    let mut leader = Leader::elected_with_entries(Leader::settings(), entries);
     leader.persist();
     assert_eq!(leader.replica.halted().map(|halted| halted.index), Some(1));
     assert!(leader.replica.state().claims.is_empty());
 }
 
 #[test]
-fn entries_go_on_in_the_version_of_the_log() {
+fn new_entries_use_the_version_of_the_log() {
     let mut leader = leader_after_version_11();
     assert_eq!(leader.replica.level(), Some(EncodingVersion::V11));
-    order(&mut leader, put(2));
+    submit(&mut leader, put(2));
     assert_eq!(leader.replica.state().routes_version(), Some(2));
     assert_eq!(leader.replica.level(), Some(EncodingVersion::V11));
 }
 
 #[test]
-fn a_group_that_begins_writes_in_the_present_version() {
+fn a_new_group_writes_the_current_version() {
     let mut leader = Leader::elected(Leader::settings(), Vec::new());
     leader.persist();
-    order(&mut leader, put(1));
+    submit(&mut leader, put(1));
     assert_eq!(leader.replica.level(), Some(EncodingVersion::CURRENT));
 }
 
-/// A roll that is complete can be rolled back for a while; then the level rises.
+/// A complete upgrade can be rolled back for a while; then the level rises.
 #[test]
-fn the_level_rises_after_the_time_to_roll_back() {
+fn the_level_rises_after_the_rollback_window() {
     let mut leader = leader_after_version_11();
     let window = UpgradeSettings::default().rollback_window;
-    pass(&mut leader, Millis(window.0 - 1_000));
+    advance(&mut leader, Millis(window.0 - 1_000));
     assert_eq!(leader.replica.level(), Some(EncodingVersion::V11));
-    pass(&mut leader, Millis(2_000));
+    advance(&mut leader, Millis(2_000));
     assert_eq!(leader.replica.level(), Some(EncodingVersion::CURRENT));
-    // What comes after is read as well.
-    order(&mut leader, put(2));
+    // Entries after the raise are applied as well.
+    submit(&mut leader, put(2));
     assert_eq!(leader.replica.state().routes_version(), Some(2));
 }
 
-/// A level that rises beside a gateway of an earlier build leaves it with an old configuration.
+/// A level that rose while a gateway runs an earlier build would leave it with an old
+/// configuration.
 #[rstest]
 #[case::connected(false)]
-#[case::gone_for_a_moment(true)]
-fn the_level_stays_beside_a_gateway_of_an_earlier_build(#[case] closes: bool) {
+#[case::recently_disconnected(true)]
+fn the_level_stays_with_a_gateway_of_an_earlier_build(#[case] closes: bool) {
     let mut leader = leader_after_version_11();
     open_gateway(&mut leader, EncodingVersion::V11);
     let window = UpgradeSettings::default().rollback_window;
-    pass(&mut leader, window);
+    advance(&mut leader, window);
     if closes {
-        leader.take(Event::GatewayClosed {
+        leader.handle_event(Event::GatewayClosed {
             connection: CONNECTION,
         });
     }
-    pass(&mut leader, Millis(window.0 - 1_000));
+    advance(&mut leader, Millis(window.0 - 1_000));
     assert_eq!(leader.replica.level(), Some(EncodingVersion::V11));
-    let answer = ask(&mut leader, OperatorRequest::RaiseLevel);
+    let answer = answer_to(&mut leader, OperatorRequest::RaiseLevel);
     assert!(
         matches!(&answer, Some(OperatorAnswer::NotYet(reason)) if reason.contains("gateways")),
         "{answer:?}"
@@ -197,37 +199,38 @@
 #[test]
 fn an_operator_raises_the_level_at_once() {
     let mut leader = leader_after_version_11();
-    let answer = ask(&mut leader, OperatorRequest::RaiseLevel);
+    let answer = answer_to(&mut leader, OperatorRequest::RaiseLevel);
     assert!(matches!(answer, Some(OperatorAnswer::Committed { .. })));
     assert_eq!(leader.replica.level(), Some(EncodingVersion::CURRENT));
 }
 
-/// A change that an earlier build can't follow is not lost in a conversion: it waits for the level.
+/// A change that an earlier build can't express is not dropped in a conversion: it is
+/// refused until the level has risen.
 #[test]
-fn a_change_that_needs_the_level_raises_it_and_is_taken_then() {
+fn a_change_that_needs_a_higher_level_is_accepted_once_it_has_risen() {
     let mut leader = leader_after_version_11();
     open_gateway(&mut leader, EncodingVersion::V11);
-    let refused = order(&mut leader, put_with_tenants(2));
+    let refused = submit(&mut leader, put_with_tenants(2));
     assert!(
         matches!(refused, Some(OperatorAnswer::NotYet(_))),
         "{refused:?}"
     );
-    pass(&mut leader, Millis::from_secs(2));
+    advance(&mut leader, Millis::from_secs(2));
     assert_eq!(leader.replica.level(), Some(EncodingVersion::V11));
-    leader.take(Event::GatewayClosed {
+    leader.handle_event(Event::GatewayClosed {
         connection: CONNECTION,
     });
-    pass(&mut leader, UpgradeSettings::default().rollback_window);
-    let taken = order(&mut leader, put_with_tenants(2));
+    advance(&mut leader, UpgradeSettings::default().rollback_window);
+    let accepted = submit(&mut leader, put_with_tenants(2));
     assert!(
-        matches!(taken, Some(OperatorAnswer::Committed { .. })),
-        "{taken:?}"
+        matches!(accepted, Some(OperatorAnswer::Committed { .. })),
+        "{accepted:?}"
     );
     let routes = leader.replica.state().configuration.routes.as_ref();
     assert!(routes.is_some_and(|table| table.tenants.is_some()));
 }
 
-/// A list with starts, which version 11 has no place for, is news with each reading.
+/// Version 11 can't hold starts, so a list with starts would look like a change each time.
 #[test]
 fn a_list_with_starts_does_not_grow_a_log_of_version_11() {
     let mut leader = leader_after_version_11();
@@ -244,24 +247,25 @@
         observed: None,
         is_preemptible: false,
     };
-    let read = |leader: &mut Leader| {
+    let send_list = |leader: &mut Leader| {
         let machines = vec![entry.clone()];
         leader.replica.handle(Event::Machines(machines), leader.now);
         leader.persist();
         leader.replica.node().status().last_index
     };
-    let first = read(&mut leader);
+    let first = send_list(&mut leader);
     let record = &leader.replica.state().configuration.backends[&BackendId::new("app-1")];
     assert_eq!(record.machine, MachineState::Leaving);
-    assert_eq!(read(&mut leader), first);
+    assert_eq!(send_list(&mut leader), first);
     leader
         .replica
         .handle(Event::Machines(Vec::new()), leader.now);
 }
 
-/// A log that all versions read alike is gone on with in a version that its members read.
+/// A log that all versions decode to the same commands is continued in a version that its
+/// members read.
 #[test]
-fn a_log_of_an_unknown_build_goes_on_in_the_earliest_version_that_is_seen() {
+fn a_log_of_an_unknown_build_continues_in_the_earliest_version_seen() {
     let session = garnet_control::Session {
         id: garnet_types::SessionId::new("session-1"),
         tenant: TenantId::new("one"),
@@ -272,11 +276,11 @@
         Command::CreateSession(session),
         EncodingVersion::V11,
     )];
-    let mut leader = Leader::elected_after(Leader::settings(), entries);
+    let mut leader = Leader::elected_with_entries(Leader::settings(), entries);
     leader.persist();
     assert_eq!(leader.replica.level(), None);
     open_gateway(&mut leader, EncodingVersion::V11);
-    order(&mut leader, put(1));
+    submit(&mut leader, put(1));
     assert_eq!(leader.replica.state().routes_version(), Some(1));
     assert_eq!(leader.replica.level(), Some(EncodingVersion::V11));
 }
--- a/components/control/tests/state/limits.rs
+++ b/components/control/tests/state/limits.rs
@@ -1,4 +1,4 @@
-//! Engines that name a limit, as the leader hears and tells of it.
+//! Limits that engines report: how the leader collects them and sends them to gateways.
 
 use garnet_control::{ControlReply, Event, GatewayRequest, LimitUpdate, MachineEntry};
 use garnet_limits::{LimitReport, LimitReports, PermitAsk, PermitOutcome};
@@ -7,10 +7,10 @@
 use crate::leader::Leader;
 use crate::machine_list::{entry, leader, list};
 
-/// A leader of engines 1 to 3; the number of each is its start as well.
+/// A leader of engines 1 to 3, each with its number as its start.
 fn with_engines() -> Leader {
     let mut leader = leader();
-    leader.take(Event::Machines(list(4)));
+    leader.handle_event(Event::Machines(list(4)));
     leader.run(Millis(200));
     leader
 }
@@ -19,9 +19,9 @@
     BackendId::new(format!("engine-{number}"))
 }
 
-/// What a gateway hears of limits with the answer to its watch.
+/// The limits that a gateway receives with the answer to its watch.
 fn watch(leader: &mut Leader, gateway: &str, connection: u64) -> Option<LimitUpdate> {
-    let request = leader.watch_of(gateway, 0);
+    let request = leader.watch_request(gateway, 0);
     let limits = |reply| match reply {
         ControlReply::Limits(limits) => Some(limits),
         _ => None,
@@ -30,9 +30,16 @@
     replies.find_map(limits)
 }
 
-fn tell(leader: &mut Leader, gateway: &str, number: u64, of: u64, start: u64, rate: Option<&str>) {
+fn send_report(
+    leader: &mut Leader,
+    gateway: &str,
+    number: u64,
+    engine_number: u64,
+    start: u64,
+    rate: Option<&str>,
+) {
     let report = LimitReport {
-        backend: engine(of),
+        backend: engine(engine_number),
         start,
         rate: rate.map(|rate| rate.parse().expect("a rate")),
         ago: Millis::ZERO,
@@ -46,10 +53,10 @@
     assert_eq!(leader.replies(1, request), []);
 }
 
-fn is_granted(leader: &mut Leader, of: u64) -> bool {
+fn is_granted(leader: &mut Leader, engine_number: u64) -> bool {
     let ask = PermitAsk {
         number: 9,
-        backends: vec![engine(of)],
+        backends: vec![engine(engine_number)],
         rank: 0,
     };
     match leader.replies(1, GatewayRequest::Permit(ask)).as_slice() {
@@ -61,35 +68,35 @@
     }
 }
 
-fn told(limits: Option<LimitUpdate>) -> Vec<(String, String)> {
-    let limits = limits.expect("news");
+fn listed(limits: Option<LimitUpdate>) -> Vec<(String, String)> {
+    let limits = limits.expect("an update");
     let limits = limits.limits.iter();
     limits
-        .map(|told| (told.backend.to_string(), told.rate.to_string()))
+        .map(|listed| (listed.backend.to_string(), listed.rate.to_string()))
         .collect()
 }
 
 #[test]
-fn what_one_gateway_heard_all_are_told_once() {
+fn a_limit_reported_by_one_gateway_is_sent_to_all_once() {
     let mut leader = with_engines();
-    assert_eq!(told(watch(&mut leader, "g1", 1)), []);
-    assert_eq!(told(watch(&mut leader, "g2", 2)), []);
-    tell(&mut leader, "g1", 7, 1, 1, Some("1.5"));
+    assert_eq!(listed(watch(&mut leader, "g1", 1)), []);
+    assert_eq!(listed(watch(&mut leader, "g2", 2)), []);
+    send_report(&mut leader, "g1", 7, 1, 1, Some("1.5"));
     leader.run(Millis(100));
     let expected = [("engine-1".to_owned(), "1.5".to_owned())];
-    assert_eq!(told(watch(&mut leader, "g2", 2)), expected);
+    assert_eq!(listed(watch(&mut leader, "g2", 2)), expected);
     assert_eq!(watch(&mut leader, "g2", 2), None);
-    let own = watch(&mut leader, "g1", 1).expect("news");
+    let own = watch(&mut leader, "g1", 1).expect("an update");
     assert_eq!(own.reports_taken, 7);
-    // On another connection it may not know.
-    assert_eq!(told(watch(&mut leader, "g2", 3)), expected);
+    // On another connection the gateway may not have the list.
+    assert_eq!(listed(watch(&mut leader, "g2", 3)), expected);
     assert_eq!(leader.replica.limited_backends(), 1);
 }
 
 #[test]
-fn permits_come_at_the_rate() {
+fn permits_are_granted_at_the_rate() {
     let mut leader = with_engines();
-    tell(&mut leader, "g1", 1, 1, 1, Some("10"));
+    send_report(&mut leader, "g1", 1, 1, 1, Some("10"));
     let mut granted = 0;
     for _ in 0..100 {
         leader.run(Millis(50));
@@ -98,16 +105,16 @@
     assert!((48..=51).contains(&granted), "{granted}");
 }
 
-/// Words of an earlier start come late, and one that has started again has said
-/// nothing yet.
+/// Reports about an earlier start can arrive late, and must not limit a back end that has
+/// restarted and reported nothing yet.
 #[test]
-fn another_start_has_no_limit() {
+fn a_limit_does_not_apply_to_another_start() {
     let mut leader = with_engines();
-    tell(&mut leader, "g1", 1, 1, 77, Some("1"));
+    send_report(&mut leader, "g1", 1, 1, 77, Some("1"));
     assert_eq!(leader.replica.limited_backends(), 0);
-    tell(&mut leader, "g1", 2, 1, 1, Some("1"));
+    send_report(&mut leader, "g1", 2, 1, 1, Some("1"));
     assert_eq!(leader.replica.limited_backends(), 1);
-    let again = |number: usize| {
+    let restarted_entry = |number: usize| {
         let mut entry = entry(number, MachineState::Live);
         if number == 1 {
             entry.observed = entry
@@ -119,39 +126,39 @@
         }
         entry
     };
-    let list: Vec<MachineEntry> = (0..4).map(again).collect();
-    leader.take(Event::Machines(list));
+    let list: Vec<MachineEntry> = (0..4).map(restarted_entry).collect();
+    leader.handle_event(Event::Machines(list));
     assert_eq!(leader.replica.limited_backends(), 0);
 }
 
 #[test]
-fn what_is_no_back_end_has_no_limit() {
+fn a_limit_of_an_unknown_back_end_is_ignored() {
     let mut leader = with_engines();
-    tell(&mut leader, "g1", 1, 9, 9, Some("1"));
+    send_report(&mut leader, "g1", 1, 9, 9, Some("1"));
     assert_eq!(leader.replica.limited_backends(), 0);
 }
 
-/// A leader that begins anew knows nothing and gives nothing, until it is told.
+/// A new leader has no limits and grants no permits until it receives a report.
 #[test]
-fn a_new_leader_gives_nothing_before_it_is_told() {
+fn a_new_leader_grants_nothing_before_it_receives_a_limit() {
     let mut leader = with_engines();
     assert!(!is_granted(&mut leader, 1));
-    tell(&mut leader, "g1", 1, 1, 1, Some("2"));
+    send_report(&mut leader, "g1", 1, 1, 1, Some("2"));
     assert!(!is_granted(&mut leader, 1));
     leader.run(Millis(500));
     assert!(is_granted(&mut leader, 1));
 }
 
-/// What is told to a gateway in a while is bounded: of many engines that name limits
-/// one after the other it hears at once, then together.
+/// The data sent to a gateway over time is bounded: if many engines report limits one after
+/// the other, the gateway receives the first ones at once and later ones together.
 #[test]
-fn many_limits_are_told_together() {
+fn many_limits_are_sent_together() {
     let mut leader = leader();
-    leader.take(Event::Machines(list(600)));
+    leader.handle_event(Event::Machines(list(600)));
     leader.run(Millis(500));
     let mut bytes = 0;
     for number in 1..600 {
-        tell(&mut leader, "g1", number, number, number, Some("1"));
+        send_report(&mut leader, "g1", number, number, number, Some("1"));
         leader.run(Millis(50));
         if let Some(limits) = watch(&mut leader, "g2", 2) {
             let encoded = bincode::serde::encode_to_vec(&limits, bincode::config::standard());
--- a/components/control/tests/state/load_digest.rs
+++ b/components/control/tests/state/load_digest.rs
@@ -75,7 +75,7 @@
         evidence,
         copies: Vec::new(),
     };
-    let effects = leader.take(Event::Gateway {
+    let effects = leader.handle_event(Event::Gateway {
         connection: 1,
         request,
     });
--- a/components/control/tests/state/machine_list.rs
+++ b/components/control/tests/state/machine_list.rs
@@ -55,7 +55,7 @@
 /// Entries that a reading of the list adds to the log.
 fn entries_of(leader: &mut Leader, list: Vec<MachineEntry>) -> u64 {
     let before = leader.replica.node().status().last_index;
-    leader.take(Event::Machines(list));
+    leader.handle_event(Event::Machines(list));
     leader.replica.node().status().last_index - before
 }
 
--- a/components/control/tests/state/operators.rs
+++ b/components/control/tests/state/operators.rs
@@ -1,4 +1,4 @@
-//! Operators who race and who resend.
+//! Commands of operators that race or are resent.
 
 use crate::fleet::{Log, named};
 use garnet_control::{Command, CommandAnswer, ControlState, Session};
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn of_two_commands_with_equal_revision_one_wins_and_the_other_hears_the_revision() {
+fn of_two_commands_with_equal_revision_one_wins_and_the_other_gets_the_revision() {
     let mut log = Log::default();
     let first = log.apply_envelope(&named("a-1", Some(0), put("one")));
     let second = log.apply_envelope(&named("b-1", Some(0), put("two")));
@@ -39,8 +39,8 @@
     let mut log = Log::default();
     let first = log.apply_envelope(&named("a-1", Some(0), put("one")));
     log.apply_envelope(&named("b-1", Some(1), put("two")));
-    let again = log.apply_envelope(&named("a-1", Some(0), put("one")));
-    assert_eq!(first, again);
+    let resent = log.apply_envelope(&named("a-1", Some(0), put("one")));
+    assert_eq!(first, resent);
     assert_eq!(
         log.state.configuration.policies["urgent"].document, "two",
         "the resent command must not bring the old policy back"
@@ -51,12 +51,15 @@
 fn first_answers_survive_a_snapshot() {
     let mut log = Log::default();
     let first = log.apply_envelope(&named("a-1", Some(0), put("one")));
-    let lost = log.apply_envelope(&named("b-1", Some(0), put("two")));
+    let conflict_answer = log.apply_envelope(&named("b-1", Some(0), put("two")));
     log.state = ControlState::decode(&log.state.encode().expect("its own format"))
-        .expect("a whole snapshot");
+        .expect("a complete snapshot");
     let first_again = log.apply_envelope(&named("a-1", Some(0), put("one")));
-    let lost_again = log.apply_envelope(&named("b-1", Some(0), put("two")));
-    assert_eq!((first, lost), (first_again, lost_again));
+    let conflict_answer_again = log.apply_envelope(&named("b-1", Some(0), put("two")));
+    assert_eq!(
+        (first, conflict_answer),
+        (first_again, conflict_answer_again)
+    );
 }
 
 #[test]
@@ -72,7 +75,7 @@
 }
 
 #[test]
-fn what_does_not_exist_is_said_to_be_not_found() {
+fn unknown_sessions_and_policies_are_not_found() {
     let mut log = Log::default();
     let unknown = Command::CloseSession(SessionId::new("nobody"));
     assert_eq!(log.apply(unknown), CommandAnswer::NotFound);
--- a/components/control/tests/state/quarantine.rs
+++ b/components/control/tests/state/quarantine.rs
@@ -1,4 +1,4 @@
-//! Requests under which engines end: what gateways are told, and what lasts.
+//! Requests that crash engines: what gateways receive, and what outlives a leader.
 
 use garnet_control::{
     Command, CommandEnvelope, Configuration, ControlReply, ControlState, Effect, Event,
@@ -12,8 +12,8 @@
 
 use crate::leader::Leader;
 
-/// All gateways have told of a crash, and the leader has weighed it, by then.
-const SETTLED: Millis = Millis(500);
+/// Time in which all gateways have reported a crash and the leader has acted on it.
+const SETTLE_TIME: Millis = Millis(500);
 
 fn request(path: &str) -> RequestFingerprint {
     let identity = RequestIdentity {
@@ -43,20 +43,20 @@
     replies.next().expect("a reply")
 }
 
-fn tell(leader: &mut Leader, connection: u64, runs: Vec<EndedRun>) {
+fn send_runs(leader: &mut Leader, connection: u64, runs: Vec<EndedRun>) {
     let report = RunReport { runs, through: 7 };
     let reply = reply_to(leader, connection, GatewayRequest::Runs(report));
     assert_eq!(reply, ControlReply::RunsNoted { through: 7 });
 }
 
-/// What a gateway hears that works by no configuration yet.
+/// The answer to the watch of a gateway that has no configuration yet.
 fn watch(leader: &mut Leader, gateway: &str, connection: u64) -> (Configuration, Option<Suspects>) {
-    let request = leader.watch_of(gateway, 0);
+    let request = leader.watch_request(gateway, 0);
     match reply_to(leader, connection, request) {
         ControlReply::Watch {
             update, suspects, ..
         } => match update {
-            WatchUpdate::Snapshot(whole) => (whole.into_inner(), suspects),
+            WatchUpdate::Snapshot(snapshot) => (snapshot.into_inner(), suspects),
             WatchUpdate::UnderWay | WatchUpdate::Current => (Configuration::default(), suspects),
             other => panic!("{other:?}"),
         },
@@ -70,18 +70,18 @@
     leader
 }
 
-/// Each gateway saw one engine end; together they saw three.
+/// A leader to which three gateways have reported one crash each, of three engines.
 fn with_verdict() -> Leader {
     let mut leader = leader();
     for (connection, engine) in ["e1", "e2", "e3"].into_iter().enumerate() {
-        tell(&mut leader, connection as u64, vec![run("bad", engine)]);
+        send_runs(&mut leader, connection as u64, vec![run("bad", engine)]);
     }
-    leader.run(SETTLED);
+    leader.run(SETTLE_TIME);
     leader
 }
 
 #[test]
-fn what_three_gateways_saw_one_each_binds_all() {
+fn crashes_reported_by_three_gateways_quarantine_a_request_for_all() {
     let mut leader = with_verdict();
     let (configuration, _) = watch(&mut leader, "g4", 4);
     let record = configuration.quarantine.get(&request("bad"));
@@ -89,36 +89,36 @@
     assert_eq!(configuration.quarantine.len(), 1);
 }
 
-/// The third crash is far from the log when gateways hear of it: its disk may
-/// be slow.
+/// A leader with a slow disk: the verdict after the third crash must reach gateways before
+/// it is synced.
 #[test]
-fn gateways_hear_a_verdict_before_the_log_has_it() {
+fn gateways_receive_a_verdict_before_it_is_in_the_log() {
     let mut leader = leader();
     for engine in ["e1", "e2", "e3"] {
-        tell(&mut leader, 1, vec![run("bad", engine)]);
+        send_runs(&mut leader, 1, vec![run("bad", engine)]);
     }
-    let until = leader.now + SETTLED;
+    let until = leader.now + SETTLE_TIME;
     while leader.now < until {
         leader.now = leader.now + Millis(50);
-        leader.take(Event::Tick);
+        leader.handle_event(Event::Tick);
     }
     let (configuration, suspects) = watch(&mut leader, "g1", 1);
     assert!(configuration.quarantine.is_empty(), "nothing was synced");
     assert_eq!(
-        suspects.map(|told| told.refused),
+        suspects.map(|sent| sent.refused),
         Some(vec![request("bad")])
     );
 }
 
 #[test]
-fn a_suspected_request_is_told_once_and_again_after_a_while() {
+fn a_suspected_request_is_sent_once_and_resent_after_a_while() {
     let mut leader = leader();
     assert_eq!(watch(&mut leader, "g1", 1).1, Some(Suspects::default()));
     assert_eq!(watch(&mut leader, "g1", 1).1, None);
-    tell(&mut leader, 1, vec![run("bad", "e1"), run("bad", "e2")]);
-    leader.run(SETTLED);
-    let told = watch(&mut leader, "g1", 1).1.expect("news");
-    assert_eq!(told.suspected, [request("bad")]);
+    send_runs(&mut leader, 1, vec![run("bad", "e1"), run("bad", "e2")]);
+    leader.run(SETTLE_TIME);
+    let sent = watch(&mut leader, "g1", 1).1.expect("an update");
+    assert_eq!(sent.suspected, [request("bad")]);
     assert_eq!(watch(&mut leader, "g1", 1).1, None);
     assert!(
         watch(&mut leader, "g1", 9).1.is_some(),
@@ -140,10 +140,11 @@
     };
     let mut next = Leader::elected(Leader::settings(), vec![command]);
     next.run(Millis(500));
-    // Gateways tell a new leader all anew: it is no news.
+    // Gateways repeat all their reports to a new leader, which must not cause a new
+    // verdict.
     let runs = ["e1", "e2", "e3"].map(|engine| run("bad", engine));
-    tell(&mut next, 1, runs.to_vec());
-    let effects = next.run(SETTLED);
+    send_runs(&mut next, 1, runs.to_vec());
+    let effects = next.run(SETTLE_TIME);
     let is_verdict = |effect: &Effect| matches!(effect, Effect::Quarantined(_));
     assert!(!effects.iter().any(is_verdict));
     let (configuration, _) = watch(&mut next, "g1", 1);
@@ -151,32 +152,32 @@
 }
 
 #[test]
-fn an_operator_releases_a_request_and_it_begins_anew() {
+fn a_request_that_an_operator_releases_starts_over() {
     let mut leader = with_verdict();
     let command = Command::ReleaseRequest(request("bad"));
     let envelope = CommandEnvelope::unnamed(command, leader.now);
     let wait = false;
     let release = OperatorRequest::Command { envelope, wait };
-    leader.take(Event::Operator {
+    leader.handle_event(Event::Operator {
         ticket: 1,
         request: release,
     });
-    leader.run(SETTLED);
+    leader.run(SETTLE_TIME);
     let quarantine = |leader: &Leader| leader.replica.state().configuration.quarantine.len();
     assert_eq!(quarantine(&leader), 0);
-    tell(&mut leader, 1, vec![run("bad", "e4"), run("bad", "e5")]);
-    leader.run(SETTLED);
+    send_runs(&mut leader, 1, vec![run("bad", "e4"), run("bad", "e5")]);
+    leader.run(SETTLE_TIME);
     assert_eq!(quarantine(&leader), 0);
-    tell(&mut leader, 1, vec![run("bad", "e6")]);
-    leader.run(SETTLED);
+    send_runs(&mut leader, 1, vec![run("bad", "e6")]);
+    leader.run(SETTLE_TIME);
     assert_eq!(quarantine(&leader), 1);
 }
 
 #[test]
-fn a_request_is_refused_for_hours() {
+fn a_quarantine_expires_after_hours() {
     let mut leader = with_verdict();
     leader.now = leader.now + Millis::from_secs(4 * 3600);
-    // It leads anew after so long a silence.
+    // The leader has to be elected again after so long a silence.
     leader.run(Millis::from_secs(5));
     let quarantine = &leader.replica.state().configuration.quarantine;
     assert!(quarantine.is_empty());
@@ -199,13 +200,13 @@
     assert!(!quarantine.contains_key(&request("r0")));
 }
 
-/// The gateway that saw two crashes and the leader that it told were lost in
-/// the same moment, and the request crashed two more engines than it had to.
+/// Guards against losing the gateway that saw two crashes and its leader at the same
+/// moment: the request then crashed two more engines than necessary.
 #[test]
-fn what_is_suspected_outlives_the_leader_and_all_gateways() {
+fn suspected_requests_outlive_the_leader_and_all_gateways() {
     let mut leader = leader();
-    tell(&mut leader, 1, vec![run("bad", "e1"), run("bad", "e2")]);
-    leader.run(SETTLED);
+    send_runs(&mut leader, 1, vec![run("bad", "e1"), run("bad", "e2")]);
+    leader.run(SETTLE_TIME);
     let suspects = &leader.replica.state().suspects;
     assert_eq!(suspects[&request("bad")].engines.len(), 2);
     let logged = SuspectedRequest {
@@ -215,24 +216,24 @@
     let command = Command::NoteSuspects(vec![logged]);
     let mut next = Leader::elected(Leader::settings(), vec![command]);
     next.run(Millis(500));
-    tell(&mut next, 1, vec![run("bad", "e3")]);
-    next.run(SETTLED);
+    send_runs(&mut next, 1, vec![run("bad", "e3")]);
+    next.run(SETTLE_TIME);
     let state = next.replica.state();
     assert!(state.configuration.quarantine.contains_key(&request("bad")));
     assert!(state.suspects.is_empty(), "it is refused, not suspected");
 }
 
 #[test]
-fn a_request_that_came_to_its_end_leaves_the_log() {
+fn a_completed_request_is_no_longer_suspected() {
     let mut leader = leader();
-    tell(&mut leader, 1, vec![run("sound", "e1"), run("sound", "e2")]);
-    leader.run(SETTLED);
+    send_runs(&mut leader, 1, vec![run("sound", "e1"), run("sound", "e2")]);
+    leader.run(SETTLE_TIME);
     assert_eq!(leader.replica.state().suspects.len(), 1);
     let completed = EndedRun {
         end: RunEnd::Completed,
         ..run("sound", "e3")
     };
-    tell(&mut leader, 1, vec![completed]);
-    leader.run(SETTLED);
+    send_runs(&mut leader, 1, vec![completed]);
+    leader.run(SETTLE_TIME);
     assert!(leader.replica.state().suspects.is_empty());
 }
--- a/components/control/tests/state/routes.rs
+++ b/components/control/tests/state/routes.rs
@@ -40,7 +40,7 @@
 
 fn read(leader: &mut Leader) -> OperatorAnswer {
     let request = OperatorRequest::Routes;
-    let effects = leader.take(Event::Operator { ticket: 1, request });
+    let effects = leader.handle_event(Event::Operator { ticket: 1, request });
     let answer = effects.into_iter().find_map(|effect| {
         let Effect::AnswerOperator { answer, .. } = effect else {
             return None;
@@ -76,13 +76,13 @@
         let envelope = CommandEnvelope::unnamed(put(version, "later"), leader.now);
         let wait = false;
         let request = OperatorRequest::Command { envelope, wait };
-        leader.take(Event::Operator { ticket: 1, request });
+        leader.handle_event(Event::Operator { ticket: 1, request });
     }
     leader.persist();
     let _answers = leader.replica.take_effects();
-    let request = leader.watch_of("gateway-1", 1);
+    let request = leader.watch_request("gateway-1", 1);
     let connection = 1;
-    let effects = leader.take(Event::Gateway {
+    let effects = leader.handle_event(Event::Gateway {
         connection,
         request,
     });
--- a/components/control/tests/state/watching.rs
+++ b/components/control/tests/state/watching.rs
@@ -25,14 +25,14 @@
     let envelope = CommandEnvelope::unnamed(put(version), leader.now);
     let wait = false;
     let request = OperatorRequest::Command { envelope, wait };
-    leader.take(Event::Operator { ticket: 1, request });
+    leader.handle_event(Event::Operator { ticket: 1, request });
     leader.persist();
     let _answers = leader.replica.take_effects();
 }
 
 /// The update that a gateway is sent which asks with the index that it works by.
 fn update(leader: &mut Leader, connection: u64, index: u64) -> WatchUpdate {
-    let request = leader.watch_of("gateway-1", index);
+    let request = leader.watch_request("gateway-1", index);
     match leader.replies(connection, request).into_iter().next() {
         Some(ControlReply::Watch { update, .. }) => update,
         other => panic!("{other:?}"),
@@ -127,7 +127,7 @@
     let envelope = CommandEnvelope::unnamed(Command::PutBackend(registration), leader.now);
     let wait = false;
     let request = OperatorRequest::Command { envelope, wait };
-    leader.take(Event::Operator { ticket: 1, request });
+    leader.handle_event(Event::Operator { ticket: 1, request });
     leader.persist();
     let _answers = leader.replica.take_effects();
 }
--- a/components/control/tests/state/whole.rs
+++ b/components/control/tests/state/whole.rs
@@ -27,7 +27,7 @@
 }
 
 fn watch(leader: &mut Leader, gateway: usize, index: u64) -> ControlReply {
-    let request = leader.watch_of(&format!("gateway-{gateway}"), index);
+    let request = leader.watch_request(&format!("gateway-{gateway}"), index);
     reply(leader, request)
 }
 
@@ -45,7 +45,7 @@
 }
 
 fn take(leader: &mut Leader, list: Vec<MachineEntry>) {
-    leader.take(Event::Machines(list));
+    leader.handle_event(Event::Machines(list));
     leader.persist();
     let _effects = leader.replica.take_effects();
 }
