--- a/components/control/src/encoding/v11/command.rs
+++ b/components/control/src/encoding/v11/command.rs
@@ -10,7 +10,7 @@
 
 use super::configuration::{BackendRegistration, RouteTable};
 use super::not_in_v11;
-use crate::command::{ClaimCommand, Command as PresentCommand, CommandEnvelope as PresentEnvelope};
+use crate::command::{ClaimCommand, Command as CurrentCommand, CommandEnvelope as CurrentEnvelope};
 use crate::configuration::{EngineObservation, Session};
 use crate::encoding::NotInVersion;
 
@@ -67,10 +67,10 @@
     },
 }
 
-impl TryFrom<&PresentEnvelope> for CommandEnvelope {
+impl TryFrom<&CurrentEnvelope> for CommandEnvelope {
     type Error = NotInVersion;
 
-    fn try_from(envelope: &PresentEnvelope) -> Result<Self, NotInVersion> {
+    fn try_from(envelope: &CurrentEnvelope) -> Result<Self, NotInVersion> {
         Ok(CommandEnvelope {
             command_id: envelope.command_id.clone(),
             expected_revision: envelope.expected_revision,
@@ -80,9 +80,9 @@
     }
 }
 
-impl From<CommandEnvelope> for PresentEnvelope {
+impl From<CommandEnvelope> for CurrentEnvelope {
     fn from(envelope: CommandEnvelope) -> Self {
-        PresentEnvelope {
+        CurrentEnvelope {
             command_id: envelope.command_id,
             expected_revision: envelope.expected_revision,
             at: envelope.at,
@@ -91,28 +91,28 @@
     }
 }
 
-impl TryFrom<&PresentCommand> for Command {
+impl TryFrom<&CurrentCommand> for Command {
     type Error = NotInVersion;
 
-    fn try_from(command: &PresentCommand) -> Result<Self, NotInVersion> {
+    fn try_from(command: &CurrentCommand) -> Result<Self, NotInVersion> {
         Ok(match command.clone() {
-            PresentCommand::CreateSession(session) => Command::CreateSession(session),
-            PresentCommand::CloseSession(id) => Command::CloseSession(id),
-            PresentCommand::PutPolicy { name, document } => Command::PutPolicy { name, document },
-            PresentCommand::WithdrawPolicy(name) => Command::WithdrawPolicy(name),
-            PresentCommand::PutRoutes { table, document } => Command::PutRoutes {
+            CurrentCommand::CreateSession(session) => Command::CreateSession(session),
+            CurrentCommand::CloseSession(id) => Command::CloseSession(id),
+            CurrentCommand::PutPolicy { name, document } => Command::PutPolicy { name, document },
+            CurrentCommand::WithdrawPolicy(name) => Command::WithdrawPolicy(name),
+            CurrentCommand::PutRoutes { table, document } => Command::PutRoutes {
                 table: table.as_ref().try_into()?,
                 document,
             },
-            PresentCommand::PutBackend(registration) => Command::PutBackend((&registration).into()),
-            PresentCommand::SetMachine { backend, state } => Command::SetMachine { backend, state },
-            PresentCommand::RemoveBackend(id) => Command::RemoveBackend(id),
-            PresentCommand::Assign { engine, assignment } => Command::Assign { engine, assignment },
-            PresentCommand::BeginOrder(engine) => Command::BeginOrder(engine),
-            PresentCommand::RenewOrder { engine, replaces } => {
+            CurrentCommand::PutBackend(registration) => Command::PutBackend((&registration).into()),
+            CurrentCommand::SetMachine { backend, state } => Command::SetMachine { backend, state },
+            CurrentCommand::RemoveBackend(id) => Command::RemoveBackend(id),
+            CurrentCommand::Assign { engine, assignment } => Command::Assign { engine, assignment },
+            CurrentCommand::BeginOrder(engine) => Command::BeginOrder(engine),
+            CurrentCommand::RenewOrder { engine, replaces } => {
                 Command::RenewOrder { engine, replaces }
             }
-            PresentCommand::SettleOrder {
+            CurrentCommand::SettleOrder {
                 engine,
                 fence,
                 observation,
@@ -121,61 +121,61 @@
                 fence,
                 observation,
             },
-            PresentCommand::Observe {
+            CurrentCommand::Observe {
                 engine,
                 observation,
             } => Command::Observe {
                 engine,
                 observation,
             },
-            PresentCommand::Claim(claim) => Command::Claim(claim),
-            PresentCommand::ReleaseClaim(claim) => Command::ReleaseClaim(claim),
-            PresentCommand::RecordResult { claim, response } => {
+            CurrentCommand::Claim(claim) => Command::Claim(claim),
+            CurrentCommand::ReleaseClaim(claim) => Command::ReleaseClaim(claim),
+            CurrentCommand::RecordResult { claim, response } => {
                 Command::RecordResult { claim, response }
             }
-            PresentCommand::BeginIdleOrder(_) => {
+            CurrentCommand::BeginIdleOrder(_) => {
                 return Err(not_in_v11("an order to an idle pool"));
             }
-            PresentCommand::BeginTenure(_) => return Err(not_in_v11("a tenure")),
-            PresentCommand::CountUsage(_)
-            | PresentCommand::CloseUsage(_)
-            | PresentCommand::UsageTold(_) => return Err(not_in_v11("usage")),
-            PresentCommand::NoteNeeded { .. } => return Err(not_in_v11("buying of engines")),
-            PresentCommand::QuarantineRequest { .. }
-            | PresentCommand::ReleaseRequest(_)
-            | PresentCommand::NoteSuspects(_) => return Err(not_in_v11("quarantine")),
-            PresentCommand::NoteMachines(_) | PresentCommand::ForgetMachines(_) => {
+            CurrentCommand::BeginTenure(_) => return Err(not_in_v11("a tenure")),
+            CurrentCommand::CountUsage(_)
+            | CurrentCommand::CloseUsage(_)
+            | CurrentCommand::UsageTold(_) => return Err(not_in_v11("usage")),
+            CurrentCommand::NoteNeeded { .. } => return Err(not_in_v11("buying of engines")),
+            CurrentCommand::QuarantineRequest { .. }
+            | CurrentCommand::ReleaseRequest(_)
+            | CurrentCommand::NoteSuspects(_) => return Err(not_in_v11("quarantine")),
+            CurrentCommand::NoteMachines(_) | CurrentCommand::ForgetMachines(_) => {
                 return Err(not_in_v11("a command of many machines"));
             }
-            PresentCommand::RaiseLevel(_) => return Err(not_in_v11("a raise of the level")),
+            CurrentCommand::RaiseLevel(_) => return Err(not_in_v11("a raise of the level")),
         })
     }
 }
 
-impl From<Command> for PresentCommand {
+impl From<Command> for CurrentCommand {
     fn from(command: Command) -> Self {
         match command {
-            Command::CreateSession(session) => PresentCommand::CreateSession(session),
-            Command::CloseSession(id) => PresentCommand::CloseSession(id),
-            Command::PutPolicy { name, document } => PresentCommand::PutPolicy { name, document },
-            Command::WithdrawPolicy(name) => PresentCommand::WithdrawPolicy(name),
-            Command::PutRoutes { table, document } => PresentCommand::PutRoutes {
+            Command::CreateSession(session) => CurrentCommand::CreateSession(session),
+            Command::CloseSession(id) => CurrentCommand::CloseSession(id),
+            Command::PutPolicy { name, document } => CurrentCommand::PutPolicy { name, document },
+            Command::WithdrawPolicy(name) => CurrentCommand::WithdrawPolicy(name),
+            Command::PutRoutes { table, document } => CurrentCommand::PutRoutes {
                 table: Arc::new(table.into()),
                 document,
             },
-            Command::PutBackend(registration) => PresentCommand::PutBackend(registration.into()),
-            Command::SetMachine { backend, state } => PresentCommand::SetMachine { backend, state },
-            Command::RemoveBackend(id) => PresentCommand::RemoveBackend(id),
-            Command::Assign { engine, assignment } => PresentCommand::Assign { engine, assignment },
-            Command::BeginOrder(engine) => PresentCommand::BeginOrder(engine),
+            Command::PutBackend(registration) => CurrentCommand::PutBackend(registration.into()),
+            Command::SetMachine { backend, state } => CurrentCommand::SetMachine { backend, state },
+            Command::RemoveBackend(id) => CurrentCommand::RemoveBackend(id),
+            Command::Assign { engine, assignment } => CurrentCommand::Assign { engine, assignment },
+            Command::BeginOrder(engine) => CurrentCommand::BeginOrder(engine),
             Command::RenewOrder { engine, replaces } => {
-                PresentCommand::RenewOrder { engine, replaces }
+                CurrentCommand::RenewOrder { engine, replaces }
             }
             Command::SettleOrder {
                 engine,
                 fence,
                 observation,
-            } => PresentCommand::SettleOrder {
+            } => CurrentCommand::SettleOrder {
                 engine,
                 fence,
                 observation,
@@ -183,14 +183,14 @@
             Command::Observe {
                 engine,
                 observation,
-            } => PresentCommand::Observe {
+            } => CurrentCommand::Observe {
                 engine,
                 observation,
             },
-            Command::Claim(claim) => PresentCommand::Claim(claim),
-            Command::ReleaseClaim(claim) => PresentCommand::ReleaseClaim(claim),
+            Command::Claim(claim) => CurrentCommand::Claim(claim),
+            Command::ReleaseClaim(claim) => CurrentCommand::ReleaseClaim(claim),
             Command::RecordResult { claim, response } => {
-                PresentCommand::RecordResult { claim, response }
+                CurrentCommand::RecordResult { claim, response }
             }
         }
     }
--- a/components/control/src/encoding/v11/configuration.rs
+++ b/components/control/src/encoding/v11/configuration.rs
@@ -4,8 +4,8 @@
 use std::sync::Arc;
 
 use garnet_routes::{
-    CallerLimits, EngineLimits, Route as PresentRoute, RouteTable as PresentTable,
-    ServiceSettings as PresentService, WeightedService, WorkKind,
+    CallerLimits, EngineLimits, Route as CurrentRoute, RouteTable as CurrentTable,
+    ServiceSettings as CurrentService, WeightedService, WorkKind,
 };
 use garnet_types::{
     BackendId, BackendKind, EngineAssignment, MachineState, Millis, ServiceId, SessionId,
@@ -15,8 +15,8 @@
 
 use super::not_in_v11;
 use crate::configuration::{
-    BackendRecord as PresentRecord, BackendRegistration as PresentRegistration,
-    Configuration as PresentConfiguration, ConfigurationChange as PresentChange, EngineObservation,
+    BackendRecord as CurrentRecord, BackendRegistration as CurrentRegistration,
+    Configuration as CurrentConfiguration, ConfigurationChange as CurrentChange, EngineObservation,
     OutstandingOrder, PolicyRecord, Session,
 };
 use crate::encoding::NotInVersion;
@@ -50,10 +50,10 @@
     limits: CallerLimits,
 }
 
-impl TryFrom<&PresentRoute> for Route {
+impl TryFrom<&CurrentRoute> for Route {
     type Error = NotInVersion;
 
-    fn try_from(route: &PresentRoute) -> Result<Self, NotInVersion> {
+    fn try_from(route: &CurrentRoute) -> Result<Self, NotInVersion> {
         if route.public {
             return Err(not_in_v11("a public route"));
         }
@@ -72,9 +72,9 @@
     }
 }
 
-impl From<Route> for PresentRoute {
+impl From<Route> for CurrentRoute {
     fn from(route: Route) -> Self {
-        PresentRoute {
+        CurrentRoute {
             name: route.name,
             host: route.host,
             path_prefix: route.path_prefix,
@@ -90,10 +90,10 @@
     }
 }
 
-impl TryFrom<&PresentService> for ServiceSettings {
+impl TryFrom<&CurrentService> for ServiceSettings {
     type Error = NotInVersion;
 
-    fn try_from(service: &PresentService) -> Result<Self, NotInVersion> {
+    fn try_from(service: &CurrentService) -> Result<Self, NotInVersion> {
         if service.buying.is_some() {
             return Err(not_in_v11("buying of engines"));
         }
@@ -105,9 +105,9 @@
     }
 }
 
-impl From<ServiceSettings> for PresentService {
+impl From<ServiceSettings> for CurrentService {
     fn from(service: ServiceSettings) -> Self {
-        PresentService {
+        CurrentService {
             name: service.name,
             max_connections: service.max_connections,
             engine: service.engine,
@@ -116,10 +116,10 @@
     }
 }
 
-impl TryFrom<&PresentTable> for RouteTable {
+impl TryFrom<&CurrentTable> for RouteTable {
     type Error = NotInVersion;
 
-    fn try_from(table: &PresentTable) -> Result<Self, NotInVersion> {
+    fn try_from(table: &CurrentTable) -> Result<Self, NotInVersion> {
         if table.tenants.is_some() {
             return Err(not_in_v11("keys of tenants"));
         }
@@ -134,9 +134,9 @@
     }
 }
 
-impl From<RouteTable> for PresentTable {
+impl From<RouteTable> for CurrentTable {
     fn from(table: RouteTable) -> Self {
-        PresentTable {
+        CurrentTable {
             version: table.version,
             routes: table.routes.into_iter().map(Into::into).collect(),
             services: table.services.into_iter().map(Into::into).collect(),
@@ -156,10 +156,10 @@
     zone: String,
 }
 
-impl From<&PresentRegistration> for BackendRegistration {
+impl From<&CurrentRegistration> for BackendRegistration {
     /// Drops the start. A process without starts takes all starts of a back end for the
     /// same.
-    fn from(registration: &PresentRegistration) -> Self {
+    fn from(registration: &CurrentRegistration) -> Self {
         BackendRegistration {
             id: registration.id.clone(),
             kind: registration.kind,
@@ -170,9 +170,9 @@
     }
 }
 
-impl From<BackendRegistration> for PresentRegistration {
+impl From<BackendRegistration> for CurrentRegistration {
     fn from(registration: BackendRegistration) -> Self {
-        PresentRegistration {
+        CurrentRegistration {
             id: registration.id,
             kind: registration.kind,
             service: registration.service,
@@ -194,8 +194,8 @@
     revision: u64,
 }
 
-impl From<&PresentRecord> for BackendRecord {
-    fn from(record: &PresentRecord) -> Self {
+impl From<&CurrentRecord> for BackendRecord {
+    fn from(record: &CurrentRecord) -> Self {
         BackendRecord {
             registration: (&record.registration).into(),
             machine: record.machine,
@@ -207,9 +207,9 @@
     }
 }
 
-impl From<BackendRecord> for PresentRecord {
+impl From<BackendRecord> for CurrentRecord {
     fn from(record: BackendRecord) -> Self {
-        PresentRecord {
+        CurrentRecord {
             registration: record.registration.into(),
             machine: record.machine,
             desired: record.desired,
@@ -229,13 +229,13 @@
     backends: BTreeMap<BackendId, BackendRecord>,
 }
 
-impl TryFrom<&PresentConfiguration> for Configuration {
+impl TryFrom<&CurrentConfiguration> for Configuration {
     type Error = NotInVersion;
 
     /// Drops the quarantine: version 11 has none.
-    fn try_from(configuration: &PresentConfiguration) -> Result<Self, NotInVersion> {
+    fn try_from(configuration: &CurrentConfiguration) -> Result<Self, NotInVersion> {
         let routes = configuration.routes.as_deref().map(RouteTable::try_from);
-        let record = |(id, record): (&BackendId, &PresentRecord)| (id.clone(), record.into());
+        let record = |(id, record): (&BackendId, &CurrentRecord)| (id.clone(), record.into());
         Ok(Configuration {
             index: configuration.index,
             sessions: configuration.sessions.clone(),
@@ -246,10 +246,10 @@
     }
 }
 
-impl From<Configuration> for PresentConfiguration {
+impl From<Configuration> for CurrentConfiguration {
     fn from(configuration: Configuration) -> Self {
         let backends = configuration.backends.into_iter();
-        PresentConfiguration {
+        CurrentConfiguration {
             index: configuration.index,
             sessions: configuration.sessions,
             routes: configuration.routes.map(|table| Arc::new(table.into())),
@@ -273,20 +273,20 @@
 
 impl ConfigurationChange {
     /// Converts a change; `None` if version 11 does not need it.
-    pub(super) fn of(change: &PresentChange) -> Result<Option<Self>, NotInVersion> {
+    pub(super) fn of(change: &CurrentChange) -> Result<Option<Self>, NotInVersion> {
         let change = match change.clone() {
-            PresentChange::SessionCreated(session) => ConfigurationChange::SessionCreated(session),
-            PresentChange::SessionClosed(id) => ConfigurationChange::SessionClosed(id),
-            PresentChange::RoutesPut(table) => {
+            CurrentChange::SessionCreated(session) => ConfigurationChange::SessionCreated(session),
+            CurrentChange::SessionClosed(id) => ConfigurationChange::SessionClosed(id),
+            CurrentChange::RoutesPut(table) => {
                 ConfigurationChange::RoutesPut(table.as_ref().try_into()?)
             }
-            PresentChange::PolicyPut { name, record } => {
+            CurrentChange::PolicyPut { name, record } => {
                 ConfigurationChange::PolicyPut { name, record }
             }
-            PresentChange::PolicyWithdrawn(name) => ConfigurationChange::PolicyWithdrawn(name),
-            PresentChange::BackendPut(record) => ConfigurationChange::BackendPut((&record).into()),
-            PresentChange::BackendRemoved(id) => ConfigurationChange::BackendRemoved(id),
-            PresentChange::RequestQuarantined(..) | PresentChange::RequestReleased(_) => {
+            CurrentChange::PolicyWithdrawn(name) => ConfigurationChange::PolicyWithdrawn(name),
+            CurrentChange::BackendPut(record) => ConfigurationChange::BackendPut((&record).into()),
+            CurrentChange::BackendRemoved(id) => ConfigurationChange::BackendRemoved(id),
+            CurrentChange::RequestQuarantined(..) | CurrentChange::RequestReleased(_) => {
                 return Ok(None);
             }
         };
@@ -294,20 +294,20 @@
     }
 }
 
-impl From<ConfigurationChange> for PresentChange {
+impl From<ConfigurationChange> for CurrentChange {
     fn from(change: ConfigurationChange) -> Self {
         match change {
-            ConfigurationChange::SessionCreated(session) => PresentChange::SessionCreated(session),
-            ConfigurationChange::SessionClosed(id) => PresentChange::SessionClosed(id),
+            ConfigurationChange::SessionCreated(session) => CurrentChange::SessionCreated(session),
+            ConfigurationChange::SessionClosed(id) => CurrentChange::SessionClosed(id),
             ConfigurationChange::RoutesPut(table) => {
-                PresentChange::RoutesPut(Arc::new(table.into()))
+                CurrentChange::RoutesPut(Arc::new(table.into()))
             }
             ConfigurationChange::PolicyPut { name, record } => {
-                PresentChange::PolicyPut { name, record }
+                CurrentChange::PolicyPut { name, record }
             }
-            ConfigurationChange::PolicyWithdrawn(name) => PresentChange::PolicyWithdrawn(name),
-            ConfigurationChange::BackendPut(record) => PresentChange::BackendPut(record.into()),
-            ConfigurationChange::BackendRemoved(id) => PresentChange::BackendRemoved(id),
+            ConfigurationChange::PolicyWithdrawn(name) => CurrentChange::PolicyWithdrawn(name),
+            ConfigurationChange::BackendPut(record) => CurrentChange::BackendPut(record.into()),
+            ConfigurationChange::BackendRemoved(id) => CurrentChange::BackendRemoved(id),
         }
     }
 }
--- a/components/control/src/encoding/v11/messages.rs
+++ b/components/control/src/encoding/v11/messages.rs
@@ -7,19 +7,19 @@
 use crate::answer::ClaimAnswer;
 use crate::command::ClaimCommand;
 use crate::configuration::{
-    Configuration as PresentConfiguration, ConfigurationChange as PresentChange,
+    Configuration as CurrentConfiguration, ConfigurationChange as CurrentChange,
 };
 use crate::encoding::NotInVersion;
 use crate::load_digest::{ToldDigest, V11Digest};
 use crate::messages::{
-    Backlog, ClaimRequest, ControlReply as PresentReply, CopyNews, Evidence,
-    GatewayRequest as PresentRequest, GroupView, PoolMix, PromptCopy, WatchUpdate as PresentUpdate,
+    Backlog, ClaimRequest, ControlReply as CurrentReply, CopyNews, Evidence,
+    GatewayRequest as CurrentRequest, GroupView, PoolMix, PromptCopy, WatchUpdate as CurrentUpdate,
 };
 use crate::shared::Shared;
 
 /// A message from a gateway to a replica.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-#[expect(missing_docs, reason = "the present type documents the fields")]
+#[expect(missing_docs, reason = "the current type documents the fields")]
 pub enum GatewayRequest {
     Watch {
         gateway: GatewayId,
@@ -36,9 +36,9 @@
 
 impl GatewayRequest {
     /// Converts a request; `None` if version 11 has no such request.
-    pub fn of(request: PresentRequest) -> Option<Self> {
+    pub fn of(request: CurrentRequest) -> Option<Self> {
         match request {
-            PresentRequest::Watch {
+            CurrentRequest::Watch {
                 gateway,
                 configuration_index,
                 sent_at,
@@ -57,17 +57,17 @@
                 evidence,
                 copies,
             }),
-            PresentRequest::Claim(request) => Some(GatewayRequest::Claim(request)),
-            PresentRequest::Usage(_)
-            | PresentRequest::Runs(_)
-            | PresentRequest::Part(_)
-            | PresentRequest::LimitReports { .. }
-            | PresentRequest::Permit(_) => None,
+            CurrentRequest::Claim(request) => Some(GatewayRequest::Claim(request)),
+            CurrentRequest::Usage(_)
+            | CurrentRequest::Runs(_)
+            | CurrentRequest::Part(_)
+            | CurrentRequest::LimitReports { .. }
+            | CurrentRequest::Permit(_) => None,
         }
     }
 }
 
-impl From<GatewayRequest> for PresentRequest {
+impl From<GatewayRequest> for CurrentRequest {
     fn from(request: GatewayRequest) -> Self {
         match request {
             GatewayRequest::Watch {
@@ -79,7 +79,7 @@
                 backlogs,
                 evidence,
                 copies,
-            } => PresentRequest::Watch {
+            } => CurrentRequest::Watch {
                 gateway,
                 configuration_index,
                 sent_at,
@@ -89,7 +89,7 @@
                 evidence,
                 copies,
             },
-            GatewayRequest::Claim(request) => PresentRequest::Claim(request),
+            GatewayRequest::Claim(request) => CurrentRequest::Claim(request),
         }
     }
 }
@@ -107,53 +107,53 @@
 
 impl WatchUpdate {
     /// Converts an update; `None` if version 11 has no such update.
-    fn of(update: &PresentUpdate) -> Result<Option<Self>, NotInVersion> {
+    fn of(update: &CurrentUpdate) -> Result<Option<Self>, NotInVersion> {
         let update = match update {
-            PresentUpdate::Current => WatchUpdate::Current,
-            PresentUpdate::Changes { from, to, changes } => WatchUpdate::Changes {
+            CurrentUpdate::Current => WatchUpdate::Current,
+            CurrentUpdate::Changes { from, to, changes } => WatchUpdate::Changes {
                 from: *from,
                 to: *to,
                 changes: changes_of(changes)?,
             },
-            PresentUpdate::Snapshot(snapshot) => WatchUpdate::Snapshot((&**snapshot).try_into()?),
-            PresentUpdate::Parts { .. } | PresentUpdate::UnderWay => return Ok(None),
+            CurrentUpdate::Snapshot(snapshot) => WatchUpdate::Snapshot((&**snapshot).try_into()?),
+            CurrentUpdate::Parts { .. } | CurrentUpdate::UnderWay => return Ok(None),
         };
         Ok(Some(update))
     }
 }
 
 fn changes_of(
-    changes: &[(u64, PresentChange)],
+    changes: &[(u64, CurrentChange)],
 ) -> Result<Vec<(u64, ConfigurationChange)>, NotInVersion> {
-    let change = |(index, change): &(u64, PresentChange)| {
+    let change = |(index, change): &(u64, CurrentChange)| {
         let change = ConfigurationChange::of(change).transpose()?;
         Some(change.map(|change| (*index, change)))
     };
     changes.iter().filter_map(change).collect()
 }
 
-impl From<WatchUpdate> for PresentUpdate {
+impl From<WatchUpdate> for CurrentUpdate {
     fn from(update: WatchUpdate) -> Self {
         match update {
-            WatchUpdate::Current => PresentUpdate::Current,
+            WatchUpdate::Current => CurrentUpdate::Current,
             WatchUpdate::Changes { from, to, changes } => {
                 let changes = changes.into_iter();
-                let changes: Vec<(u64, PresentChange)> = changes
+                let changes: Vec<(u64, CurrentChange)> = changes
                     .map(|(index, change)| (index, change.into()))
                     .collect();
-                PresentUpdate::Changes {
+                CurrentUpdate::Changes {
                     from,
                     to,
                     changes: Shared::from(changes),
                 }
             }
-            WatchUpdate::Snapshot(snapshot) => PresentUpdate::Snapshot(shared(snapshot)),
+            WatchUpdate::Snapshot(snapshot) => CurrentUpdate::Snapshot(shared(snapshot)),
         }
     }
 }
 
-fn shared(snapshot: Configuration) -> Shared<PresentConfiguration> {
-    Shared::from(PresentConfiguration::from(snapshot))
+fn shared(snapshot: Configuration) -> Shared<CurrentConfiguration> {
+    Shared::from(CurrentConfiguration::from(snapshot))
 }
 
 /// A message from a replica to a gateway.
@@ -185,9 +185,9 @@
     ///
     /// # Errors
     /// When it holds a configuration that version 11 can't express.
-    pub fn of(reply: &PresentReply) -> Result<Option<Self>, NotInVersion> {
+    pub fn of(reply: &CurrentReply) -> Result<Option<Self>, NotInVersion> {
         let reply = match reply {
-            PresentReply::Watch {
+            CurrentReply::Watch {
                 sent_at,
                 update,
                 group,
@@ -208,28 +208,28 @@
                     copies: copies.clone(),
                 }
             }
-            PresentReply::Claim { claim, answer } => Reply::Claim {
+            CurrentReply::Claim { claim, answer } => Reply::Claim {
                 claim: claim.clone(),
                 answer: answer.clone(),
             },
-            PresentReply::NotLeader { leader, last_known } => {
+            CurrentReply::NotLeader { leader, last_known } => {
                 let last_known = last_known.as_ref().map(|snapshot| (&**snapshot).try_into());
                 Reply::NotLeader {
                     leader: leader.clone(),
                     last_known: last_known.transpose()?,
                 }
             }
-            PresentReply::Usage(_)
-            | PresentReply::RunsNoted { .. }
-            | PresentReply::Part(_)
-            | PresentReply::Limits(_)
-            | PresentReply::Permit(_) => return Ok(None),
+            CurrentReply::Usage(_)
+            | CurrentReply::RunsNoted { .. }
+            | CurrentReply::Part(_)
+            | CurrentReply::Limits(_)
+            | CurrentReply::Permit(_) => return Ok(None),
         };
         Ok(Some(ControlReply(reply)))
     }
 }
 
-impl From<ControlReply> for PresentReply {
+impl From<ControlReply> for CurrentReply {
     fn from(reply: ControlReply) -> Self {
         match reply.0 {
             Reply::Watch {
@@ -239,7 +239,7 @@
                 gateways,
                 digest,
                 copies,
-            } => PresentReply::Watch {
+            } => CurrentReply::Watch {
                 sent_at,
                 update: update.into(),
                 group,
@@ -248,8 +248,8 @@
                 copies,
                 suspects: None,
             },
-            Reply::Claim { claim, answer } => PresentReply::Claim { claim, answer },
-            Reply::NotLeader { leader, last_known } => PresentReply::NotLeader {
+            Reply::Claim { claim, answer } => CurrentReply::Claim { claim, answer },
+            Reply::NotLeader { leader, last_known } => CurrentReply::NotLeader {
                 leader,
                 last_known: last_known.map(shared),
             },
--- a/components/control/src/encoding/v12.rs
+++ b/components/control/src/encoding/v12.rs
@@ -11,9 +11,9 @@
 
 use super::decoded;
 use super::v11::{BackendRecord, BackendRegistration};
-use crate::command::{Command, CommandEnvelope, MachineNote as PresentNote};
+use crate::command::{Command, CommandEnvelope, MachineNote as CurrentNote};
 use crate::configuration::{
-    Configuration as PresentConfiguration, EngineObservation, PolicyRecord, QuarantineRecord,
+    Configuration as CurrentConfiguration, EngineObservation, PolicyRecord, QuarantineRecord,
     Session,
 };
 
@@ -38,9 +38,9 @@
     observed: Option<EngineObservation>,
 }
 
-impl From<MachineNote> for PresentNote {
+impl From<MachineNote> for CurrentNote {
     fn from(note: MachineNote) -> Self {
-        PresentNote {
+        CurrentNote {
             registration: note.registration.into(),
             state: note.state,
             observed: note.observed,
@@ -86,9 +86,9 @@
 
 impl Configuration {
     /// Converts to the current type, with the given quarantine.
-    pub(crate) fn with_quarantine(self, quarantine: Quarantine) -> PresentConfiguration {
+    pub(crate) fn with_quarantine(self, quarantine: Quarantine) -> CurrentConfiguration {
         let backends = self.backends.into_iter();
-        PresentConfiguration {
+        CurrentConfiguration {
             index: self.index,
             sessions: self.sessions,
             routes: self.routes,
--- a/components/control/src/replica/gateway_requests.rs
+++ b/components/control/src/replica/gateway_requests.rs
@@ -59,8 +59,8 @@
                 self.effects
                     .push(Effect::ReplyGateway { connection, reply });
             }
-            GatewayRequest::Part(place) => {
-                let reply = ControlReply::Part(self.recent.part(place));
+            GatewayRequest::Part(part_request) => {
+                let reply = ControlReply::Part(self.recent.part(part_request));
                 self.effects
                     .push(Effect::ReplyGateway { connection, reply });
             }
