--- a/components/control/src/answer.rs
+++ b/components/control/src/answer.rs
@@ -1,45 +1,45 @@
-//! What the state machine answers to a command.
+//! Answers of the state machine to commands.
 
 use garnet_types::RecordedResponse;
 use serde::{Deserialize, Serialize};
 
-/// Answer to an operator's or the leader's command. A resent command gets the
-/// first answer again.
+/// Answer to a command. A command that is resent under the same id gets the first
+/// answer again.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CommandAnswer {
-    /// In force from this configuration index on.
+    /// The command was applied.
     Accepted {
         /// Configuration index of the change.
         revision: u64,
     },
-    /// Another command came first.
+    /// The item does not have the expected revision.
     Conflict {
-        /// Revision that stands now.
+        /// Current revision of the item.
         current_revision: u64,
     },
-    /// The named thing does not exist.
+    /// The named item does not exist.
     NotFound,
-    /// The command does not fit the present state.
+    /// The command is not allowed in the current state.
     Rejected(String),
     /// Answer to a claim.
     Claim(ClaimAnswer),
 }
 
-/// Answer to a claim on a key.
+/// Answer to a claim on an idempotency key.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ClaimAnswer {
-    /// The asker owns the key and may dispatch once.
+    /// The claimant owns the key and may dispatch its request once.
     Granted,
-    /// Another request owns it and has no recorded result: never a second run.
+    /// Another request owns the key and has no recorded answer, so this one must not run.
     Held,
-    /// The request ran; this is its recorded answer.
+    /// The request has run; this is its recorded answer.
     Recorded(RecordedResponse),
-    /// The key stands for another body.
+    /// The key belongs to a request with another body.
     BodyDiffers,
-    /// This very claim was given back before; it may not dispatch any more.
+    /// This claim was released before; its request must not be dispatched any more.
     Released,
     /// The table of claims is full.
     Full,
-    /// The release or the record is in the log.
+    /// The release or the recorded answer is in the log.
     Noted,
 }
--- a/components/control/src/balancing.rs
+++ b/components/control/src/balancing.rs
@@ -1,5 +1,5 @@
-//! The leader's use of the balance of phases: what gateways have under way at
-//! each engine tells how occupied prefill engines and decode engines are.
+//! Balancing of prefill and decode engines by the leader. The work that gateways have in
+//! flight at each engine shows how occupied the engines of each phase are.
 
 mod members;
 
@@ -18,24 +18,23 @@
 
 use members::{Busy, Member, Pool, RoleCount, busy_engines, members, pools};
 
-/// A peak that does not come back is half forgotten after this time: longer
-/// than the swings of a mix within a minute, far shorter than its shifts over
-/// a day.
-const PEAK_HALVED: Millis = Millis::from_secs(120);
-/// Peak that is taken for granted before there was time to see one: the first
-/// swing of a mix must not take away what the next one needs.
-const UNSEEN_PEAK: f64 = 0.8;
-/// Decode engines run many requests at once and slow down gradually: for them no
-/// more is taken for granted than so many times the peak that was seen.
-const DECODE_SWING: f64 = 3.0;
-/// How long a leader listens before it takes a pool for one without load.
-const FIRST_LOOK: Millis = Millis(1200);
-/// A phase that lacks fewer than one engine of so many to the pool's share is left
-/// as it is: it changes the work of the others by as little, and a change of roles
-/// takes an engine out for seconds.
-const ENGINES_FOR_EACH_LACKING: usize = 100;
-/// Limits of an engine where the route table does not tell.
-const UNSTATED_LIMITS: EngineLimits = EngineLimits {
+/// Half-life of a peak: longer than the swings of a mix within a minute, far shorter than
+/// its shifts over a day.
+const PEAK_HALF_LIFE: Millis = Millis::from_secs(120);
+/// Peak that is assumed before one was observed: the first swing of a mix must not take
+/// away engines that the next one needs.
+const ASSUMED_PEAK: f64 = 0.8;
+/// Decode engines run many requests at once and slow down gradually, so for them the
+/// assumed peak is limited to this multiple of the observed peak.
+const MAX_DECODE_SWING: f64 = 3.0;
+/// How long a new leader collects reports before it considers a pool to be without load.
+const INITIAL_OBSERVATION: Millis = Millis(1200);
+/// A phase that lacks less than one of this many engines of the pool is left as it is: the
+/// load of the other engines hardly changes, and a role change takes an engine out of
+/// routing for seconds.
+const MIN_ENGINES_PER_LACKING: usize = 100;
+/// Limits of an engine if the route table states none.
+const DEFAULT_LIMITS: EngineLimits = EngineLimits {
     slots: 64,
     cache_tokens: u64::MAX,
     token_bytes: 0,
@@ -44,17 +43,17 @@
     handover_ms: Millis::ZERO,
 };
 
-/// How occupied a phase is: an average, and what it was at its peaks lately.
+/// Occupancy of a phase: its average and its recent peak.
 ///
-/// What a phase needed a moment ago it may need again before an engine could
-/// change back, so the peak counts; it is forgotten slowly.
+/// A phase may need again what it needed a moment ago before an engine could change back,
+/// so decisions use the peak, which decays slowly.
 #[derive(Debug, Clone, Copy)]
 struct Demand {
     average: f64,
     peak: f64,
-    /// What may come that was not seen yet: it keeps engines where they are,
-    /// and calls for none.
-    unseen: f64,
+    /// Assumed peak that was not observed yet; it keeps engines in their roles but does
+    /// not request more.
+    assumed_peak: f64,
 }
 
 impl Default for Demand {
@@ -62,34 +61,34 @@
         Demand {
             average: 0.0,
             peak: 0.0,
-            unseen: UNSEEN_PEAK,
+            assumed_peak: ASSUMED_PEAK,
         }
     }
 }
 
 impl Demand {
-    fn take(&mut self, sample: f64, newest: f64, kept: f64) {
-        self.average += newest * (sample - self.average);
-        self.peak = (self.peak * kept).max(self.average);
-        self.unseen *= kept;
+    fn add_sample(&mut self, sample: f64, weight: f64, decay: f64) {
+        self.average += weight * (sample - self.average);
+        self.peak = (self.peak * decay).max(self.average);
+        self.assumed_peak *= decay;
     }
 
-    /// What must not be taken away.
-    fn guarded(&self) -> f64 {
-        self.peak.max(self.unseen)
+    /// The demand for which the phase must keep its engines.
+    fn reserved(&self) -> f64 {
+        self.peak.max(self.assumed_peak)
     }
 
-    /// The highest that a swing of the mix makes of what was seen.
-    fn swing(&self) -> f64 {
-        self.peak * DECODE_SWING
+    /// The highest demand that a swing of the mix is expected to cause.
+    fn max_swing(&self) -> f64 {
+        self.peak * MAX_DECODE_SWING
     }
 
-    /// The same demand, spread over other engines.
-    fn scaled(&self, part: f64) -> Self {
+    /// The same demand per engine when the number of engines changes by `factor`.
+    fn scaled(&self, factor: f64) -> Self {
         Demand {
-            average: self.average * part,
-            peak: self.peak * part,
-            unseen: self.unseen,
+            average: self.average * factor,
+            peak: self.peak * factor,
+            assumed_peak: self.assumed_peak,
         }
     }
 }
@@ -99,24 +98,24 @@
     prefill: Demand,
     decode: Demand,
     loaded: bool,
-    /// Since when this leader looks, and whether it has listened long enough to
-    /// know that there is no load.
-    looks_since: Option<Millis>,
-    was_looked_at: bool,
-    /// Engines of each phase.
+    /// When this leader began to observe the pool, and whether it has done so for long
+    /// enough to know that there is no load.
+    observed_since: Option<Millis>,
+    was_evaluated: bool,
+    /// Number of engines in each phase.
     roles: RoleCount,
     /// Engines when the configuration changed last.
     members: Option<BTreeSet<BackendId>>,
-    /// Engines that came since the last look.
+    /// Engines that were added since the last evaluation.
     newcomers: BTreeSet<BackendId>,
-    /// Part of the engines that shall prefill, as it was decided last.
+    /// Fraction of the engines that are to prefill, as decided last.
     share: Option<f64>,
-    /// Engines at the last look, and since when there are so many: the list
-    /// of engines comes in parts when a group starts.
+    /// Number of engines at the last evaluation, and since when it is unchanged: the list
+    /// of engines arrives in parts when a group starts.
     engines: usize,
     unchanged_since: Option<Millis>,
     last_change: Option<LastChange>,
-    looked_at: Option<Millis>,
+    sampled_at: Option<Millis>,
 }
 
 #[derive(Debug, Clone, Copy)]
@@ -125,21 +124,21 @@
     role: EngineRole,
 }
 
-/// Averages of all pools.
+/// Balance of all pools.
 #[derive(Debug, Default)]
 pub(crate) struct Balancing {
     settings: BalanceSettings,
     pools: BTreeMap<Pool, PoolBalance>,
-    /// Index of the configuration whose pools are known.
-    followed_index: Option<u64>,
-    /// Engines that take no part: they are about to be given back, or take only a
-    /// few requests.
-    aside: BTreeSet<BackendId>,
-    /// Engines that were looked at since that was asked last.
-    looked_at: u64,
+    /// Index of the configuration that the pools were updated from.
+    updated_index: Option<u64>,
+    /// Engines that are not balanced: they are about to be released, or their rate limit
+    /// allows only a few requests.
+    excluded: BTreeSet<BackendId>,
+    /// Engines examined since [`Balancing::take_examined`] was called last.
+    examined_count: u64,
 }
 
-/// An assignment that is to be made, and what was seen.
+/// An assignment to be made, and the occupancy that led to it.
 pub(crate) struct BalanceChange {
     pub(crate) engine: BackendId,
     pub(crate) assignment: EngineAssignment,
@@ -151,39 +150,38 @@
         Balancing {
             settings,
             pools: BTreeMap::new(),
-            followed_index: None,
-            aside: BTreeSet::new(),
-            looked_at: 0,
+            updated_index: None,
+            excluded: BTreeSet::new(),
+            examined_count: 0,
         }
     }
 
-    /// Engines that were looked at since this was asked last.
+    /// Returns the number of engines examined since the last call.
     pub(crate) fn take_examined(&mut self) -> u64 {
-        std::mem::take(&mut self.looked_at)
+        std::mem::take(&mut self.examined_count)
     }
 
-    /// Whether the pool of an engine is known to have no work.
+    /// Returns whether the pool of an engine is known to have no work.
     pub(crate) fn is_idle(&self, configuration: &Configuration, engine: &BackendId) -> bool {
         let record = configuration.backends.get(engine);
         let Some((service, model)) = record.and_then(BackendRecord::pool) else {
             return false;
         };
         let balance = self.pools.get(&(service.clone(), model.clone()));
-        balance.is_some_and(|balance| !balance.loaded && balance.was_looked_at)
+        balance.is_some_and(|balance| !balance.loaded && balance.was_evaluated)
     }
 
-    /// Takes a look, and gives the assignments that are to be made. Engines are
-    /// looked at one by one only where the configuration has changed since, or a
-    /// change is to be made.
+    /// Evaluates all pools and returns the assignments to be made. Engines are examined
+    /// one by one only if the configuration has changed or a role change is to be made.
     pub(crate) fn decide(
         &mut self,
         configuration: &Configuration,
         backlogs: &BTreeMap<BackendId, Backlog>,
-        aside: BTreeSet<BackendId>,
+        excluded: BTreeSet<BackendId>,
         now: Millis,
     ) -> Vec<BalanceChange> {
-        self.follow(configuration, aside);
-        let busy = busy_engines(configuration, backlogs, &self.aside);
+        self.update(configuration, excluded);
+        let busy = busy_engines(configuration, backlogs, &self.excluded);
         let mut changes = Vec::new();
         for (pool, balance) in &mut self.pools {
             if balance.roles.engines() == 0 {
@@ -192,13 +190,13 @@
             let limits = limits(configuration, &pool.0);
             let busy = busy.get(&(&pool.0, &pool.1));
             let busy = busy.map_or(&[][..], Vec::as_slice);
-            let seen = sample(balance.roles, busy, &limits);
-            balance.take(&seen, limits.role_change_ms, now);
-            let occupancy = balance.occupancy(&seen);
-            let looked_at = &mut self.looked_at;
+            let sampled = sample(balance.roles, busy, &limits);
+            balance.add_sample(&sampled, limits.role_change_ms, now);
+            let occupancy = balance.occupancy(&sampled);
+            let examined_count = &mut self.examined_count;
             let members = || {
-                let members = members(configuration, &self.aside, pool);
-                *looked_at += members.len() as u64;
+                let members = members(configuration, &self.excluded, pool);
+                *examined_count += members.len() as u64;
                 members
             };
             let step = balance.step(members, &occupancy, &limits, &self.settings, now);
@@ -217,34 +215,34 @@
         changes
     }
 
-    /// Notes who is in which pool, where that may have changed.
-    fn follow(&mut self, configuration: &Configuration, aside: BTreeSet<BackendId>) {
-        let is_same = self.followed_index == Some(configuration.index);
-        if is_same && self.aside == aside {
+    /// Updates the members of all pools if they may have changed.
+    fn update(&mut self, configuration: &Configuration, excluded: BTreeSet<BackendId>) {
+        let is_same = self.updated_index == Some(configuration.index);
+        if is_same && self.excluded == excluded {
             return;
         }
-        self.followed_index = Some(configuration.index);
-        self.aside = aside;
-        // A pool whose engines are all gone remembers them: they may come back.
+        self.updated_index = Some(configuration.index);
+        self.excluded = excluded;
+        // A pool whose engines are all gone keeps its state, as they may come back.
         for balance in self.pools.values_mut() {
             balance.roles = RoleCount::default();
         }
-        for ((service, model), members) in pools(configuration, &self.aside) {
-            self.looked_at += members.len() as u64;
+        for ((service, model), members) in pools(configuration, &self.excluded) {
+            self.examined_count += members.len() as u64;
             let pool = (service.clone(), model.clone());
-            self.pools.entry(pool).or_default().follow(&members);
+            self.pools.entry(pool).or_default().update(&members);
         }
     }
 }
 
-/// Engines of a pool that change to one role.
+/// Engines of a pool that are to change to one role.
 struct PoolStep {
     role: EngineRole,
     engines: Vec<BackendId>,
 }
 
 impl PoolBalance {
-    /// What changes now, if anything.
+    /// The role changes to make now, if any.
     fn step<'a>(
         &mut self,
         members: impl FnOnce() -> Vec<Member<'a>>,
@@ -254,12 +252,12 @@
         now: Millis,
     ) -> Option<PoolStep> {
         let engines = occupancy.engines();
-        let unchanged_since = self.note_engines(engines, now);
+        let unchanged_since = self.update_engine_count(engines, now);
         let newcomers = std::mem::take(&mut self.newcomers);
         let present = occupancy.prefill_engines;
         if self.loaded {
             let share = *self.share.get_or_insert(share_of(occupancy));
-            if let Some(role) = role_that_lacks(engines, share, present, &newcomers) {
+            if let Some(role) = lacking_role(engines, share, present, &newcomers) {
                 let members = members();
                 let step = keep_share(&members, &newcomers, role, share, present);
                 if step.is_some() {
@@ -274,14 +272,15 @@
                     now,
                 );
             }
-        } else if now.since(*self.looks_since.get_or_insert(now)) < FIRST_LOOK {
-            // A new leader has yet to hear what is there and under way.
+        } else if now.since(*self.observed_since.get_or_insert(now)) < INITIAL_OBSERVATION {
+            // A new leader has not received all reports of engines and load yet.
             return None;
         }
         self.step_by_load(members, occupancy, limits, settings, unchanged_since, now)
     }
 
-    /// What changes by what was measured, or guessed before there was any load.
+    /// The role changes by the measured load, or by the initial share before there was any
+    /// load.
     fn step_by_load<'a>(
         &mut self,
         members: impl FnOnce() -> Vec<Member<'a>>,
@@ -292,7 +291,7 @@
         now: Millis,
     ) -> Option<PoolStep> {
         let present = occupancy.prefill_engines;
-        self.was_looked_at = true;
+        self.was_evaluated = true;
         let wanted = if self.loaded {
             self.wanted_prefill_engines(occupancy, settings)
         } else {
@@ -303,39 +302,38 @@
             Ordering::Greater => EngineRole::Prefill,
             Ordering::Less => EngineRole::Mixed,
         };
-        // The list of engines comes in parts: none is taken from prefill before
-        // it is whole.
+        // The list of engines arrives in parts: no engine is taken from prefill before the
+        // list is complete.
         let list_may_grow = !self.loaded && role == EngineRole::Mixed;
-        if list_may_grow && now.since(unchanged_since) < FIRST_LOOK {
+        if list_may_grow && now.since(unchanged_since) < INITIAL_OBSERVATION {
             return None;
         }
-        if self.rests(role, limits.role_change_ms, settings, now) {
+        if self.is_resting(role, limits.role_change_ms, settings, now) {
             return None;
         }
-        let engines = who_change(members(), role, wanted.abs_diff(present));
+        let engines = choose_engines(members(), role, wanted.abs_diff(present));
         if engines.is_empty() {
             return None;
         }
         self.last_change = Some(LastChange { at: now, role });
-        self.spread(occupancy, role, engines.len());
+        self.rescale(occupancy, role, engines.len());
         self.share = Some(wanted as f64 / occupancy.engines().max(1) as f64);
         Some(PoolStep { role, engines })
     }
 
-    /// Notes who is there, and who came since the last look. At the first look
-    /// nobody has come.
-    fn follow(&mut self, members: &[Member<'_>]) {
+    /// Updates the members and the newcomers. At the first update there are no newcomers.
+    fn update(&mut self, members: &[Member<'_>]) {
         self.roles = RoleCount::of(members);
         let present: BTreeSet<BackendId> = members.iter().map(|m| m.id.clone()).collect();
         if let Some(before) = self.members.replace(present) {
             let present = self.members.iter().flatten();
-            let came = present.filter(|id| !before.contains(*id));
-            self.newcomers.extend(came.cloned());
+            let added = present.filter(|id| !before.contains(*id));
+            self.newcomers.extend(added.cloned());
         }
     }
 
-    /// Notes how many engines there are; gives since when.
-    fn note_engines(&mut self, engines: usize, now: Millis) -> Millis {
+    /// Updates the number of engines; returns since when it is unchanged.
+    fn update_engine_count(&mut self, engines: usize, now: Millis) -> Millis {
         if self.engines != engines || self.unchanged_since.is_none() {
             self.engines = engines;
             self.unchanged_since = Some(now);
@@ -343,44 +341,44 @@
         self.unchanged_since.unwrap_or(now)
     }
 
-    /// Takes a sample into the averages. They follow the load in the time that
-    /// a change takes: what passes sooner is over before a change helps. Peaks
-    /// are halved in [`PEAK_HALVED`].
-    fn take(&mut self, seen: &PhaseOccupancy, role_change: Millis, now: Millis) {
-        self.loaded |= seen.prefill > 0.0 || seen.decode > 0.0;
+    /// Adds a sample to the averages. Their time constant is the duration of a role
+    /// change, as shorter peaks end before a role change helps. Peaks have the half-life
+    /// [`PEAK_HALF_LIFE`].
+    fn add_sample(&mut self, sampled: &PhaseOccupancy, role_change: Millis, now: Millis) {
+        self.loaded |= sampled.prefill > 0.0 || sampled.decode > 0.0;
         if !self.loaded {
             return;
         }
-        let since = self.looked_at.map_or(Millis::ZERO, |at| now.since(at));
-        self.looked_at = Some(now);
-        let newest = 1.0 - (-since.as_secs_f64() / role_change.as_secs_f64()).exp();
-        let kept = (-since.as_secs_f64() / PEAK_HALVED.as_secs_f64()).exp2();
-        self.prefill.take(seen.prefill, newest, kept);
-        self.decode.take(seen.decode, newest, kept);
+        let since = self.sampled_at.map_or(Millis::ZERO, |at| now.since(at));
+        self.sampled_at = Some(now);
+        let weight = 1.0 - (-since.as_secs_f64() / role_change.as_secs_f64()).exp();
+        let decay = (-since.as_secs_f64() / PEAK_HALF_LIFE.as_secs_f64()).exp2();
+        self.prefill.add_sample(sampled.prefill, weight, decay);
+        self.decode.add_sample(sampled.decode, weight, decay);
     }
 
-    /// What was seen, by its peaks.
-    fn occupancy(&self, seen: &PhaseOccupancy) -> PhaseOccupancy {
+    /// The sampled occupancy with the recent peaks in place of the sample.
+    fn occupancy(&self, sampled: &PhaseOccupancy) -> PhaseOccupancy {
         PhaseOccupancy {
             prefill: self.prefill.peak,
             decode: self.decode.peak,
-            ..*seen
+            ..*sampled
         }
     }
 
-    /// Prefill engines that the pool should have. The phase that would lose an engine
-    /// counts with what may still come.
+    /// Number of prefill engines that the pool should have. The phase that would lose an
+    /// engine counts with its reserved demand.
     fn wanted_prefill_engines(
         &self,
         occupancy: &PhaseOccupancy,
         settings: &BalanceSettings,
     ) -> usize {
-        let decode = self.decode.guarded().min(self.decode.swing());
+        let decode = self.decode.reserved().min(self.decode.max_swing());
         let more = PhaseOccupancy {
             decode,
             ..*occupancy
         };
-        let prefill = self.prefill.guarded();
+        let prefill = self.prefill.reserved();
         let fewer = PhaseOccupancy {
             prefill,
             ..*occupancy
@@ -392,8 +390,8 @@
         wanted_prefill_engines(&fewer, settings).min(occupancy.prefill_engines)
     }
 
-    /// Whether it is too early for an engine to change to `role`.
-    fn rests(
+    /// Returns whether it is too early for another change to `role`.
+    fn is_resting(
         &self,
         role: EngineRole,
         role_change: Millis,
@@ -411,9 +409,9 @@
         now.since(last.at) < rest
     }
 
-    /// A change was stated: the averages become what they will be after it.
-    fn spread(&mut self, before: &PhaseOccupancy, role: EngineRole, changed: usize) {
-        let part = |before: usize, after: usize| before.max(1) as f64 / after.max(1) as f64;
+    /// Adjusts the averages to the numbers of engines after a role change.
+    fn rescale(&mut self, before: &PhaseOccupancy, role: EngineRole, changed: usize) {
+        let factor = |before: usize, after: usize| before.max(1) as f64 / after.max(1) as f64;
         let prefill_engines = match role {
             EngineRole::Prefill => before.prefill_engines + changed,
             _ => before.prefill_engines.saturating_sub(changed),
@@ -421,20 +419,21 @@
         let decode_engines = before.engines() - prefill_engines;
         self.prefill = self
             .prefill
-            .scaled(part(before.prefill_engines, prefill_engines));
+            .scaled(factor(before.prefill_engines, prefill_engines));
         self.decode = self
             .decode
-            .scaled(part(before.decode_engines, decode_engines));
+            .scaled(factor(before.decode_engines, decode_engines));
     }
 }
 
-/// Part of the engines that prefill.
+/// Fraction of the engines that prefill.
 fn share_of(occupancy: &PhaseOccupancy) -> f64 {
     occupancy.prefill_engines as f64 / occupancy.engines().max(1) as f64
 }
 
-/// The role that newcomers have too little of for the pool to keep its share.
-fn role_that_lacks(
+/// The role that newcomers have to change to for the pool to keep its share of prefill
+/// engines.
+fn lacking_role(
     engines: usize,
     share: f64,
     present: usize,
@@ -444,7 +443,7 @@
         return None;
     }
     let wanted = kept_share(engines, share);
-    if wanted.abs_diff(present) * ENGINES_FOR_EACH_LACKING < engines {
+    if wanted.abs_diff(present) * MIN_ENGINES_PER_LACKING < engines {
         return None;
     }
     match wanted.cmp(&present) {
@@ -454,13 +453,14 @@
     }
 }
 
-/// Prefill engines of a pool that keeps its share.
+/// Number of prefill engines with which the pool keeps its share.
 fn kept_share(engines: usize, share: f64) -> usize {
     (engines as f64 * share).round() as usize
 }
 
-/// Engines that came bring a split of their own: some of them change to `role`, so
-/// that the pool keeps its share. They have cold caches and little work.
+/// Engines that were added have roles in another proportion. Some of them change to
+/// `role`, so that the pool keeps its share; newcomers are chosen because they have cold
+/// caches and little work.
 fn keep_share(
     members: &[Member<'_>],
     newcomers: &BTreeSet<BackendId>,
@@ -470,8 +470,8 @@
 ) -> Option<PoolStep> {
     let wanted = kept_share(members.len(), share);
     let changes = |member: &&Member<'_>| {
-        let prefills = member.role == EngineRole::Prefill;
-        newcomers.contains(member.id) && prefills != (role == EngineRole::Prefill)
+        let is_prefill = member.role == EngineRole::Prefill;
+        newcomers.contains(member.id) && is_prefill != (role == EngineRole::Prefill)
     };
     let engines: Vec<BackendId> = members
         .iter()
@@ -482,11 +482,11 @@
     (!engines.is_empty()).then_some(PoolStep { role, engines })
 }
 
-/// What one engine of a service can hold.
+/// Limits of one engine of a service.
 fn limits(configuration: &Configuration, service: &ServiceId) -> EngineLimits {
     let table = configuration.routes.as_ref();
     let stated = table.and_then(|table| table.engine_limits(service));
-    let limits = stated.unwrap_or(UNSTATED_LIMITS);
+    let limits = stated.unwrap_or(DEFAULT_LIMITS);
     EngineLimits {
         slots: limits.slots.max(1),
         cache_tokens: limits.cache_tokens.max(1),
@@ -495,26 +495,26 @@
     }
 }
 
-/// Part of an engine that is taken: by its slots or by its memory.
-fn taken(backlog: &Backlog, limits: &EngineLimits) -> f64 {
+/// Fraction of an engine that is occupied: of its slots or of its KV cache.
+fn occupied(backlog: &Backlog, limits: &EngineLimits) -> f64 {
     let slots = backlog.requests as f64 / limits.slots as f64;
     let memory = backlog.held_tokens as f64 / limits.cache_tokens as f64;
     slots.max(memory)
 }
 
-/// How occupied a pool is: only engines that have work are looked at.
+/// The occupancy of a pool, of which only engines that have work are examined.
 fn sample(roles: RoleCount, busy: &[Busy<'_>], limits: &EngineLimits) -> PhaseOccupancy {
     let mut prefilling = 0;
     let mut decoding = 0;
     let mut decode = 0.0;
-    let mut places = 0.0;
+    let mut free_places = 0.0;
     for Busy { role, backlog } in busy {
         if *role == EngineRole::Prefill {
             prefilling += usize::from(backlog.uncached.total() > 0);
         } else {
             decoding += 1;
-            decode += taken(backlog, limits);
-            places += limits.places(backlog.requests, backlog.held_tokens);
+            decode += occupied(backlog, limits);
+            free_places += limits.places(backlog.requests, backlog.held_tokens);
         }
     }
     let idle = roles.decode.saturating_sub(decoding);
@@ -523,17 +523,17 @@
         decode_engines: roles.decode,
         prefill: prefilling as f64 / roles.prefill.max(1) as f64,
         decode: decode / roles.decode.max(1) as f64,
-        places: places + (idle as u64 * limits.slots) as f64,
+        places: free_places + (idle as u64 * limits.slots) as f64,
     }
 }
 
-/// The engines that change to `role`, up to `count`.
-fn who_change(members: Vec<Member<'_>>, role: EngineRole, count: usize) -> Vec<BackendId> {
-    let reads = |member: &Member<'_>| member.role == EngineRole::Prefill;
+/// Chooses up to `count` engines that change to `role`.
+fn choose_engines(members: Vec<Member<'_>>, role: EngineRole, count: usize) -> Vec<BackendId> {
+    let prefills = |member: &Member<'_>| member.role == EngineRole::Prefill;
     let changes_to_prefill = role == EngineRole::Prefill;
     let candidates = members
         .into_iter()
-        .filter(|member| reads(member) != changes_to_prefill)
+        .filter(|member| prefills(member) != changes_to_prefill)
         .collect();
     let engines = take_from_fullest_zones(candidates, count, |member| member.zone);
     engines
--- a/components/control/src/balancing/members.rs
+++ b/components/control/src/balancing/members.rs
@@ -1,4 +1,4 @@
-//! Who is in which pool, as the balance of phases sees it.
+//! The pools of engines that are balanced.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,7 +10,7 @@
 pub(super) type Pool = (ServiceId, ModelId);
 pub(super) type PoolKey<'a> = (&'a ServiceId, &'a ModelId);
 
-/// An engine as the balance sees it.
+/// An engine of a pool.
 pub(super) struct Member<'a> {
     pub(super) id: &'a BackendId,
     pub(super) zone: &'a str,
@@ -23,7 +23,7 @@
     pub(super) backlog: &'a Backlog,
 }
 
-/// Engines of a pool by their phase.
+/// Number of engines of a pool by phase.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct RoleCount {
     pub(super) prefill: usize,
@@ -45,21 +45,21 @@
     }
 }
 
-/// What an engine is to the balance; `None` for one that takes no part.
+/// The engine and its pool; `None` if it is not balanced.
 fn member<'a>(
     id: &'a BackendId,
     record: &'a BackendRecord,
-    aside: &BTreeSet<BackendId>,
+    excluded: &BTreeSet<BackendId>,
 ) -> Option<(PoolKey<'a>, Member<'a>)> {
-    // A change of role would not pay for one that leaves or takes a few requests.
-    if aside.contains(id) {
+    // A role change does not pay off for an engine that leaves or takes few requests.
+    if excluded.contains(id) {
         return None;
     }
-    // The list may leave an engine out while it changes its role.
+    // The platform's list may omit an engine while it changes its role.
     if record.machine != MachineState::Live && record.order.is_none() {
         return None;
     }
-    let assignment = shall_be(record)?;
+    let assignment = target_assignment(record)?;
     let member = Member {
         id,
         zone: &record.registration.zone,
@@ -68,43 +68,43 @@
     Some(((&record.registration.service, &assignment.model), member))
 }
 
-/// Engines that take part: an engine counts as what it shall be.
+/// The balanced engines by pool; an engine counts with its target assignment.
 pub(super) fn pools<'a>(
     configuration: &'a Configuration,
-    aside: &BTreeSet<BackendId>,
+    excluded: &BTreeSet<BackendId>,
 ) -> BTreeMap<PoolKey<'a>, Vec<Member<'a>>> {
     let mut pools: BTreeMap<PoolKey<'_>, Vec<Member<'_>>> = BTreeMap::new();
     let backends = configuration.backends.iter();
-    for (pool, member) in backends.filter_map(|(id, record)| member(id, record, aside)) {
+    for (pool, member) in backends.filter_map(|(id, record)| member(id, record, excluded)) {
         pools.entry(pool).or_default().push(member);
     }
     pools
 }
 
-/// Engines of one pool.
+/// The balanced engines of one pool.
 pub(super) fn members<'a>(
     configuration: &'a Configuration,
-    aside: &BTreeSet<BackendId>,
+    excluded: &BTreeSet<BackendId>,
     (service, model): &Pool,
 ) -> Vec<Member<'a>> {
     let backends = configuration.backends.iter();
     backends
-        .filter_map(|(id, record)| member(id, record, aside))
+        .filter_map(|(id, record)| member(id, record, excluded))
         .filter(|(pool, _)| *pool == (service, model))
         .map(|(_, member)| member)
         .collect()
 }
 
-/// Engines that have work, by pool.
+/// The balanced engines that have work, by pool.
 pub(super) fn busy_engines<'a>(
     configuration: &'a Configuration,
     backlogs: &'a BTreeMap<BackendId, Backlog>,
-    aside: &BTreeSet<BackendId>,
+    excluded: &BTreeSet<BackendId>,
 ) -> BTreeMap<PoolKey<'a>, Vec<Busy<'a>>> {
     let mut busy: BTreeMap<PoolKey<'_>, Vec<Busy<'_>>> = BTreeMap::new();
     for (id, backlog) in backlogs {
         let record = configuration.backends.get(id);
-        if let Some((pool, member)) = record.and_then(|record| member(id, record, aside)) {
+        if let Some((pool, member)) = record.and_then(|record| member(id, record, excluded)) {
             let role = member.role;
             busy.entry(pool).or_default().push(Busy { role, backlog });
         }
@@ -112,6 +112,6 @@
     busy
 }
 
-fn shall_be(record: &BackendRecord) -> Option<&EngineAssignment> {
+fn target_assignment(record: &BackendRecord) -> Option<&EngineAssignment> {
     record.desired.as_ref().or(record.assignment())
 }
--- a/components/control/src/claims.rs
+++ b/components/control/src/claims.rs
@@ -1,9 +1,8 @@
-//! Claims on keys: what makes a request run at most once.
+//! Claims on idempotency keys, which make a request run at most once.
 //!
-//! Rule of expiry: a claim, with its recorded answer, is kept for
-//! [`CLAIM_RETENTION`] after it was made, by the clock of the log. At
-//! [`MAX_CLAIMS`] new claims are refused; none is dropped early, since a
-//! dropped claim could let a resend run a second time.
+//! Expiry: a claim and its recorded answer are kept for [`CLAIM_RETENTION`] after the
+//! claim was made, by the clock of the log. At [`MAX_CLAIMS`] new claims are refused;
+//! none is dropped early, since a resent request could then run a second time.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -15,19 +14,19 @@
 
 /// How long a claim is kept: one day.
 pub const CLAIM_RETENTION: Millis = Millis::from_secs(24 * 3600);
-/// Most claims that are kept.
+/// Maximum number of claims that are kept.
 pub const MAX_CLAIMS: usize = 500_000;
 /// Largest answer that is recorded, in bytes.
 pub const MAX_RECORDED_BYTES: usize = 64 * 1024;
 
-/// Where a claim stands.
+/// State of a claim.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ClaimState {
     /// Its owner may have dispatched the request.
     Owned(ClaimId),
-    /// The request ran and this is its answer.
+    /// The request has run, and this is its answer.
     Recorded(RecordedResponse),
-    /// The last owner gave it back; its request never ran.
+    /// The last owner released the claim; its request never ran.
     Released(ClaimId),
 }
 
@@ -40,7 +39,7 @@
 /// A tenant's key.
 type Key = (TenantId, IdempotencyKey);
 
-/// All claims, with the order of their expiry.
+/// All claims, with a queue of their expiry times.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claims {
     records: BTreeMap<Key, ClaimRecord>,
@@ -48,7 +47,7 @@
 }
 
 impl Claims {
-    /// Asks for a key. The same claim asked again gets the same answer.
+    /// Claims a key. The same claim made again gets the same answer.
     pub fn claim(&mut self, command: &ClaimCommand, at: Millis) -> ClaimAnswer {
         self.expire(at);
         let key = (command.tenant.clone(), command.key.clone());
@@ -73,8 +72,8 @@
         }
     }
 
-    /// Gives a claim back. One that is not in the log yet is barred, so that
-    /// it can't be granted when it arrives late.
+    /// Releases a claim. A claim that is not in the log yet is recorded as released, so
+    /// that it is not granted if it arrives later.
     pub fn release(&mut self, command: &ClaimCommand, at: Millis) -> ClaimAnswer {
         self.expire(at);
         let key = (command.tenant.clone(), command.key.clone());
@@ -92,7 +91,7 @@
         ClaimAnswer::Noted
     }
 
-    /// Keeps the owner's answer; only the first one counts.
+    /// Records the answer of the owner's request; only the first one counts.
     pub fn record(&mut self, command: &ClaimCommand, response: RecordedResponse) -> ClaimAnswer {
         let key = (command.tenant.clone(), command.key.clone());
         if let Some(record) = self.records.get_mut(&key)
@@ -103,12 +102,12 @@
         ClaimAnswer::Noted
     }
 
-    /// Claims that are kept.
+    /// Number of claims that are kept.
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Whether no claim is kept.
+    /// Returns whether no claim is kept.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
--- a/components/control/src/command.rs
+++ b/components/control/src/command.rs
@@ -13,22 +13,23 @@
 use crate::configuration::{BackendRegistration, EngineObservation, Session};
 use crate::usage::UsageReport;
 
-/// A command with what is common to all.
+/// A command with the fields that all commands have.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct CommandEnvelope {
-    /// The operator's name for it: the same name gets the first answer again.
+    /// Id that the operator chose; a resent command with the same id gets the first
+    /// answer again.
     pub command_id: Option<CommandId>,
-    /// Revision that the operator saw of the thing to change; `None` takes
-    /// whatever stands. Zero means that it must not exist yet.
+    /// Revision of the item that the operator wants to change; `None` accepts any
+    /// revision. Zero means that the item must not exist yet.
     pub expected_revision: Option<u64>,
-    /// The leader's clock when it took the command.
+    /// The leader's clock when it accepted the command.
     pub at: Millis,
-    /// What to do.
+    /// The command itself.
     pub command: Command,
 }
 
 impl CommandEnvelope {
-    /// A command that no operator named, taken at `at`.
+    /// A command without an id, accepted at `at`.
     pub fn unnamed(command: Command, at: Millis) -> Self {
         CommandEnvelope {
             command_id: None,
@@ -39,59 +40,59 @@
     }
 }
 
-/// A change of the replicated state. Variants are appended only: their places are their
-/// encoding.
+/// A change of the replicated state. New variants are appended only, as the position of a
+/// variant is its encoding.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Command {
-    /// Accepts a session.
+    /// Creates a session.
     CreateSession(Session),
-    /// Ends a session at the operator's wish.
+    /// Ends a session on an operator's request.
     CloseSession(SessionId),
-    /// Writes or replaces a policy. It was checked before it was proposed.
+    /// Creates or replaces a policy. It was checked before the command was proposed.
     PutPolicy {
-        /// Its name.
+        /// Name of the policy.
         name: String,
-        /// Its document.
+        /// Document of the policy.
         document: String,
     },
     /// Withdraws a policy.
     WithdrawPolicy(String),
-    /// Replaces the route table. It was checked before it was proposed. A
-    /// version that does not exceed the one held changes nothing.
+    /// Replaces the route table. It was checked before the command was proposed. A table
+    /// whose version is not higher than the current one changes nothing.
     PutRoutes {
         /// The table.
         table: Arc<RouteTable>,
-        /// The document as the operator wrote it, to be read back.
+        /// The document as the operator wrote it, returned when operators read it.
         document: String,
     },
-    /// Makes a back end known, or notes its new address.
+    /// Registers a back end or updates its registration.
     PutBackend(BackendRegistration),
-    /// Notes what the platform says of a back end's machine.
+    /// Records the state of a back end's machine as the platform reports it.
     SetMachine {
         /// The back end.
         backend: BackendId,
-        /// State of its machine.
+        /// State of the machine.
         state: MachineState,
     },
-    /// Forgets a back end.
+    /// Removes a back end.
     RemoveBackend(BackendId),
-    /// States what an engine shall become.
+    /// Sets the desired assignment of an engine.
     Assign {
         /// The engine.
         engine: BackendId,
-        /// What it shall become.
+        /// The desired assignment.
         assignment: EngineAssignment,
     },
-    /// Takes the engine out of routing, to order it once it has drained.
+    /// Takes an engine out of routing; it is sent the order once it has drained.
     BeginOrder(BackendId),
-    /// The same for an engine of a pool that has no work: any number may be out
-    /// at once.
+    /// The same for an engine of a pool without work, of which any number may be out of
+    /// routing at once.
     BeginIdleOrder(BackendId),
-    /// Puts an outstanding order under the fence of a new leader.
+    /// Gives an outstanding order the fence of a new leader.
     RenewOrder {
         /// The engine.
         engine: BackendId,
-        /// Fence that the order had.
+        /// Previous fence of the order.
         replaces: Fence,
     },
     /// Closes an order that the engine has carried out.
@@ -100,84 +101,84 @@
         engine: BackendId,
         /// Fence of the order.
         fence: Fence,
-        /// What the engine is now.
+        /// State of the engine after the order.
         observation: EngineObservation,
     },
-    /// Notes what an engine without an order is.
+    /// Records the state of an engine without an order.
     Observe {
         /// The engine.
         engine: BackendId,
-        /// What it is.
+        /// State of the engine.
         observation: EngineObservation,
     },
-    /// Asks for the one right to dispatch a request that is not repeatable.
+    /// Claims the exclusive right to dispatch a request that must run at most once.
     Claim(ClaimCommand),
-    /// Gives a claim back: its request provably did not and will not run.
+    /// Releases a claim whose request provably did not run and will not run.
     ReleaseClaim(ClaimCommand),
-    /// Keeps the answer of a claimed request for resends.
+    /// Records the answer of a claimed request for resends.
     RecordResult {
         /// The claim.
         claim: ClaimCommand,
         /// The answer.
         response: RecordedResponse,
     },
-    /// A replica begins to hold the duties towards the platform; the index of
+    /// Makes a replica the holder of the duties towards the platform; the log index of
     /// this command is the fencing token of its calls.
     BeginTenure(ReplicaId),
-    /// Notes what gateways counted.
+    /// Records the counts that gateways reported.
     CountUsage(Vec<UsageReport>),
-    /// Closes a window of usage and all before it: what is told of them never
-    /// changes from now on.
+    /// Closes a usage window and all earlier ones: what is reported of them does not
+    /// change any more.
     CloseUsage(UsageWindow),
-    /// Notes how many engines a service needs, where they are bought.
+    /// Records how many engines a service needs, if its engines are bought.
     NoteNeeded {
         /// The service.
         service: ServiceId,
-        /// The engines.
+        /// Number of engines.
         engines: u32,
     },
-    /// The platform has taken what was told of a window.
+    /// The platform has accepted the report of a usage window.
     UsageTold(UsageWindow),
-    /// Refuses a request from now on: engines ended under it.
+    /// Quarantines a request because engines ended while they ran it.
     QuarantineRequest {
         /// The request.
         fingerprint: RequestFingerprint,
-        /// Engines that ended.
+        /// Number of engines that ended.
         crashes: u32,
     },
-    /// Refuses it no longer.
+    /// Ends the quarantine of a request.
     ReleaseRequest(RequestFingerprint),
-    /// Notes requests that have come close to being refused.
+    /// Records requests that are suspected of crashing engines but not quarantined yet.
     NoteSuspects(Vec<SuspectedRequest>),
-    /// Notes what the platform's list says of machines.
+    /// Records changes in the platform's list of machines.
     NoteMachines(Vec<MachineUpdate>),
-    /// Forgets back ends whose machines are gone.
+    /// Removes back ends whose machines are gone.
     ForgetMachines(Vec<BackendId>),
-    /// Each member reads entries of this version. The entry is of that version itself, so
-    /// that a build which does not read it stops there.
+    /// States that each member can read entries of this version. The entry is written in
+    /// that version itself, so that a build that can't read it stops there.
     RaiseLevel(EncodingVersion),
 }
 
-/// What the platform's list says of one machine.
+/// State of one machine in the platform's list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MachineUpdate {
-    /// How the back end on it introduces itself.
+    /// Registration of the back end on the machine.
     pub registration: BackendRegistration,
     /// State of the machine.
     pub state: MachineState,
-    /// What an engine is, where that is news.
+    /// State of the engine, if it has changed.
     pub observed: Option<EngineObservation>,
 }
 
-/// A key and who claims it.
+/// A claim on an idempotency key.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimCommand {
-    /// Whose key.
+    /// Tenant that the key belongs to.
     pub tenant: TenantId,
     /// The key.
     pub key: IdempotencyKey,
     /// Hash of method, path and body.
     pub body_hash: u64,
-    /// Who claims it.
+    /// Id of the claim.
     pub claim: ClaimId,
 }
--- a/components/control/src/configuration.rs
+++ b/components/control/src/configuration.rs
@@ -1,4 +1,5 @@
-//! What every gateway must know: sessions, policies and back ends.
+//! The configuration that every gateway works by: sessions, routes, policies, back ends
+//! and quarantined requests.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -16,9 +17,9 @@
 /// A long-lived session that carries many requests.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Session {
-    /// Its name.
+    /// Name of the session.
     pub id: SessionId,
-    /// Whose it is.
+    /// Tenant that the session belongs to.
     pub tenant: TenantId,
     /// Service that its requests go to.
     pub service: ServiceId,
@@ -35,31 +36,31 @@
     pub revision: u64,
 }
 
-/// How a back end introduces itself.
+/// Identity and address of a back end.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BackendRegistration {
-    /// Its name.
+    /// Name of the back end.
     pub id: BackendId,
-    /// What it is.
+    /// Whether it is an engine or an application instance.
     pub kind: BackendKind,
     /// Service that it belongs to.
     pub service: ServiceId,
     /// IP address and port.
     pub address: String,
-    /// Zone that it stands in.
+    /// Zone that it runs in.
     pub zone: String,
-    /// Start of the process of an application, or [`UNTOLD_START`]. That of an engine is
+    /// Start of an application's process, or [`UNTOLD_START`]. The start of an engine is
     /// part of its [`EngineObservation`].
     pub start: u64,
 }
 
 impl BackendRegistration {
-    /// This registration, with the start of `former` where it has none: a source of the list
-    /// may omit it.
+    /// This registration, with the start of `former` if it has none: a source of the
+    /// machine list may omit the start.
     pub(crate) fn with_known_start(&self, former: &BackendRegistration) -> BackendRegistration {
         let start = match self.start {
             UNTOLD_START => former.start,
-            told => told,
+            known => known,
         };
         BackendRegistration {
             start,
@@ -68,29 +69,29 @@
     }
 }
 
-/// What an engine was seen to be.
+/// Observed state of an engine.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineObservation {
-    /// Start of the engine that was seen, or [`UNTOLD_START`].
+    /// Start of the engine's process, or [`UNTOLD_START`].
     pub incarnation: u64,
-    /// What it is set up for.
+    /// Role and model of the engine.
     pub assignment: EngineAssignment,
 }
 
 impl EngineObservation {
-    /// Whether another start of the engine was seen than `former` tells of: it
-    /// holds and knows nothing of before.
+    /// Returns whether the engine has restarted since `former`, which means that it has
+    /// lost its KV cache and its state.
     pub fn is_restart_of(&self, former: &EngineObservation) -> bool {
-        let told = [self.incarnation, former.incarnation];
-        !told.contains(&UNTOLD_START) && self.incarnation != former.incarnation
+        let starts = [self.incarnation, former.incarnation];
+        !starts.contains(&UNTOLD_START) && self.incarnation != former.incarnation
     }
 
-    /// What is known after `former`: one of several that speak of an engine may not
-    /// tell its start.
+    /// This observation, with the start of `former` if it has none: some of the sources
+    /// that report an engine do not report its start.
     pub(crate) fn with_known_start(&self, former: Option<&EngineObservation>) -> EngineObservation {
         let start = match self.incarnation {
             UNTOLD_START => former.map_or(UNTOLD_START, |former| former.incarnation),
-            told => told,
+            known => known,
         };
         EngineObservation {
             incarnation: start,
@@ -98,7 +99,7 @@
         }
     }
 
-    /// Whether it says anything that `former` does not.
+    /// Returns whether this observation contains anything that `former` does not.
     pub(crate) fn adds_to(&self, former: Option<&EngineObservation>) -> bool {
         former != Some(&self.with_known_start(former))
     }
@@ -107,33 +108,33 @@
 /// An order that is not settled.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OutstandingOrder {
-    /// Authority under which it may be sent.
+    /// Fence under which the order is sent.
     pub fence: Fence,
-    /// What the engine shall become.
+    /// Assignment that the engine is ordered to take.
     pub assignment: EngineAssignment,
     /// Configuration index at which the engine left the routing set.
     pub out_of_service_since: u64,
 }
 
-/// A back end as the control group knows it.
+/// State of a back end in the replicated state.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BackendRecord {
-    /// How it introduced itself.
+    /// Identity and address.
     pub registration: BackendRegistration,
-    /// What the platform says of its machine.
+    /// State of its machine as the platform reports it.
     pub machine: MachineState,
-    /// What it shall be, if anybody has said so.
+    /// Desired assignment, if one was set.
     pub desired: Option<EngineAssignment>,
-    /// What it was last seen to be.
+    /// Latest observed state.
     pub observed: Option<EngineObservation>,
-    /// The one order that is not settled.
+    /// The outstanding order, if any.
     pub order: Option<OutstandingOrder>,
     /// Configuration index of the latest change.
     pub revision: u64,
 }
 
 impl BackendRecord {
-    /// Whether gateways may send it new work.
+    /// Returns whether gateways may send it new work.
     pub fn takes_work(&self) -> bool {
         let ready = match self.registration.kind {
             BackendKind::Application => true,
@@ -148,75 +149,75 @@
         observed.map_or(self.registration.start, |seen| seen.incarnation)
     }
 
-    /// The pool of an engine: its service and the model that it holds.
+    /// The pool of an engine: its service and its model.
     pub fn pool(&self) -> Option<(&ServiceId, &ModelId)> {
         let assignment = self.assignment()?;
         Some((&self.registration.service, &assignment.model))
     }
 
-    /// What the engine is, or is becoming.
+    /// The assignment of the outstanding order, or else the observed one.
     pub fn assignment(&self) -> Option<&EngineAssignment> {
         let ordered = self.order.as_ref().map(|order| &order.assignment);
         ordered.or(self.observed.as_ref().map(|seen| &seen.assignment))
     }
 }
 
-/// A request that no engine is sent.
+/// A quarantined request, which is not sent to any engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuarantineRecord {
-    /// Engines that ended under it.
+    /// Number of engines that ended while they ran it.
     pub crashes: u32,
-    /// Until when, by the clock of the log.
+    /// End of the quarantine, by the clock of the log.
     pub until: Millis,
 }
 
-/// Everything that gateways must know, at one index.
+/// The configuration at one log index.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Configuration {
-    /// Log index of the latest change; it only rises.
+    /// Log index of the latest change; it only increases.
     pub index: u64,
-    /// Accepted sessions.
+    /// Open sessions.
     pub sessions: BTreeMap<SessionId, Session>,
-    /// The route table in force, once there is one.
+    /// The route table in force, if any.
     pub routes: Option<Arc<RouteTable>>,
     /// Policies in force.
     pub policies: BTreeMap<String, PolicyRecord>,
     /// Known back ends.
     pub backends: BTreeMap<BackendId, BackendRecord>,
-    /// Requests that are refused, since engines ended under them.
+    /// Requests that are refused because engines ended while they ran them.
     pub quarantine: BTreeMap<RequestFingerprint, QuarantineRecord>,
 }
 
 /// One change of the configuration.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ConfigurationChange {
-    /// A session was accepted.
+    /// A session was created.
     SessionCreated(Session),
     /// A session was ended.
     SessionClosed(SessionId),
     /// The route table was replaced.
     RoutesPut(Arc<RouteTable>),
-    /// A policy was written or replaced.
+    /// A policy was created or replaced.
     PolicyPut {
-        /// Its name.
+        /// Name of the policy.
         name: String,
-        /// Its document and revision.
+        /// Document and revision of the policy.
         record: PolicyRecord,
     },
     /// A policy was withdrawn.
     PolicyWithdrawn(String),
-    /// A back end is as given.
+    /// A back end was added or replaced.
     BackendPut(BackendRecord),
-    /// A back end was forgotten.
+    /// A back end was removed.
     BackendRemoved(BackendId),
-    /// A request is refused from now on.
+    /// A request was quarantined.
     RequestQuarantined(RequestFingerprint, QuarantineRecord),
-    /// A request is refused no longer.
+    /// The quarantine of a request ended.
     RequestReleased(RequestFingerprint),
 }
 
 impl ConfigurationChange {
-    /// The back end that it is about.
+    /// The back end that the change is about, if any.
     pub fn backend(&self) -> Option<&BackendId> {
         match self {
             ConfigurationChange::BackendPut(record) => Some(&record.registration.id),
@@ -227,7 +228,7 @@
 }
 
 impl Configuration {
-    /// Makes one change, which stands at log index `index`.
+    /// Applies one change, made by the log entry at `index`.
     pub fn change(&mut self, index: u64, change: &ConfigurationChange) {
         debug_assert!(index >= self.index);
         self.index = index;
@@ -264,14 +265,14 @@
 }
 
 impl Configuration {
-    /// Whether an engine may be taken out for an order, see
+    /// Returns whether an engine may be taken out of routing for an order, see
     /// [`PoolCensus::can_spare`].
     pub fn pool_can_spare(&self, engine: &BackendId) -> bool {
         let record = self.backends.get(engine);
         record.is_some_and(|record| self.pool_of(record).can_spare(record))
     }
 
-    /// The same for a pool without work: any number may be out.
+    /// The same for a pool without work, of which any number may be out of routing.
     pub fn idle_pool_can_spare(&self, engine: &BackendId) -> bool {
         let record = self.backends.get(engine);
         record.is_some_and(|record| self.pool_of(record).idle_can_spare(record))
@@ -285,7 +286,7 @@
     /// Counts of the pool of an engine.
     fn pool_of<'a>(&'a self, engine: &'a BackendRecord) -> PoolCensus<'a> {
         let pool = engine.pool();
-        let is_alike = |other: &&BackendRecord| other.pool() == pool;
-        PoolCensus::of(self.backends.values().filter(is_alike))
+        let in_pool = |other: &&BackendRecord| other.pool() == pool;
+        PoolCensus::of(self.backends.values().filter(in_pool))
     }
 }
--- a/components/control/src/configuration_transfer.rs
+++ b/components/control/src/configuration_transfer.rs
@@ -1,11 +1,11 @@
-//! The whole configuration in parts, which a gateway takes one after the other.
+//! Transfer of the full configuration to a gateway, in parts.
 //!
-//! Contract: the parts of one configuration are made and encoded once, whatever
-//! the number of gateways that take them, and a gateway asks for the next one when
-//! it has the one before. So the leader holds one configuration and at most one
-//! part for each gateway, a connection is never silent for longer than a part takes
-//! on it, and who loses its connection goes on where it was. What has changed since
-//! comes as changes, when all parts are there.
+//! Contract: the parts of one configuration are built and encoded once for all
+//! gateways, and a gateway requests the next part when it has received the previous one.
+//! So the leader holds one configuration and at most one part for each gateway, a
+//! connection is never silent for longer than one part takes on it, and a gateway that
+//! loses its connection resumes with the same part. Changes made since then follow as
+//! incremental changes once all parts have arrived.
 
 use garnet_types::Millis;
 use serde::{Deserialize, Serialize};
@@ -13,15 +13,15 @@
 use crate::configuration::{BackendRecord, Configuration};
 use crate::shared::Shared;
 
-/// Back ends in one part: some 13 KB as it is sent, half a second at the 24 KB a
-/// second that control may cost a node. A gateway leaves a connection that is silent
-/// for 1.2 s.
+/// Number of back ends in one part: about 13 KB on the wire, half a second at the
+/// 24 KB/s that control traffic may use on a node. A gateway closes a connection that is
+/// silent for 1.2 s.
 pub(crate) const BACKENDS_IN_PART: usize = 512;
-/// A part that was asked for and is not there after this time is asked for again:
-/// its connection is open, so it was dropped where too much waited for it.
-const PART_LOST_AFTER: Millis = Millis::from_secs(1);
+/// A part that has not arrived after this time is requested again. As its connection is
+/// still open, the sender dropped it from a full queue.
+const PART_TIMEOUT: Millis = Millis::from_secs(1);
 
-/// Names one part of a configuration.
+/// Identifies one part of a configuration.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PartRequest {
     /// Index of the configuration.
@@ -30,23 +30,23 @@
     pub number: u32,
 }
 
-/// What a part holds.
+/// Content of a part.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PartContent {
-    /// Everything but the back ends: the first part.
+    /// Everything but the back ends; this is the first part.
     Rest(Configuration),
-    /// Some of the back ends, in their order.
+    /// Some of the back ends, in order.
     Backends(Vec<BackendRecord>),
 }
 
-/// One part.
+/// One part of a configuration.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigurationPart {
-    /// Which one it is.
+    /// The request that this part answers.
     pub place: PartRequest,
-    /// How many there are.
+    /// Number of parts of the configuration.
     pub parts: u32,
-    /// What it holds.
+    /// Content of the part.
     pub content: Shared<PartContent>,
 }
 
@@ -58,7 +58,7 @@
 }
 
 impl Parts {
-    /// Divides a configuration.
+    /// Splits a configuration into parts.
     pub(crate) fn of(configuration: &Configuration) -> Self {
         let rest = Configuration {
             index: configuration.index,
@@ -83,96 +83,97 @@
         self.index
     }
 
-    /// How many there are.
+    /// Number of parts.
     pub(crate) fn len(&self) -> u32 {
         self.parts.len() as u32
     }
 
-    /// One of them; `None` where it is of another configuration.
-    pub(crate) fn part(&self, place: PartRequest) -> Option<ConfigurationPart> {
-        let content = self.parts.get(place.number as usize)?;
-        (place.index == self.index).then(|| ConfigurationPart {
-            place,
+    /// The requested part; `None` if it belongs to another configuration.
+    pub(crate) fn part(&self, request: PartRequest) -> Option<ConfigurationPart> {
+        let content = self.parts.get(request.number as usize)?;
+        (request.index == self.index).then(|| ConfigurationPart {
+            place: request,
             parts: self.len(),
             content: content.clone(),
         })
     }
 }
 
-/// A whole configuration that a gateway is taking.
+/// A transfer in progress.
 #[derive(Debug, Clone)]
-struct Loading {
-    /// The part that was asked for, and when.
+struct Transfer {
+    /// The part that was requested last.
     next: PartRequest,
-    asked_at: Millis,
+    requested_at: Millis,
     configuration: Configuration,
 }
 
-/// What becomes of a part.
+/// Result of adding a part.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PartOutcome {
-    /// Another one is to be asked for.
+    /// The next part has to be requested.
     Next(PartRequest),
-    /// It was the last one: the configuration is whole.
+    /// The part was the last one, and the configuration is complete.
     Complete(Configuration),
-    /// It is not the one that was asked for.
+    /// The part is not the one that was requested last.
     Ignored,
 }
 
-/// The gateway's side: what it has of a whole configuration so far.
+/// The gateway's side of the transfer: collects the parts of a configuration.
 #[derive(Debug, Clone, Default)]
 pub struct ConfigurationLoader {
-    loading: Option<Loading>,
+    transfer: Option<Transfer>,
 }
 
 impl ConfigurationLoader {
-    /// Notes that the leader has the configuration of this index in parts. Gives
-    /// the part to ask for, where none is under way.
+    /// Handles the leader's offer of the configuration at `index` in parts. Returns the
+    /// part to request, unless one was requested and may still arrive.
     pub fn on_offer(&mut self, index: u64, now: Millis) -> Option<PartRequest> {
-        let loading = self.loading.as_mut();
-        if let Some(loading) = loading.filter(|loading| loading.next.index == index) {
-            if now.since(loading.asked_at) < PART_LOST_AFTER {
+        let transfer = self.transfer.as_mut();
+        if let Some(transfer) = transfer.filter(|transfer| transfer.next.index == index) {
+            if now.since(transfer.requested_at) < PART_TIMEOUT {
                 return None;
             }
-            loading.asked_at = now;
-            return Some(loading.next);
+            transfer.requested_at = now;
+            return Some(transfer.next);
         }
         let next = PartRequest { index, number: 0 };
-        self.loading = Some(Loading {
+        self.transfer = Some(Transfer {
             next,
-            asked_at: now,
+            requested_at: now,
             configuration: Configuration::default(),
         });
         Some(next)
     }
 
-    /// Forgets that a part was asked for: the connection is another one.
+    /// Handles a new connection: a part requested on the previous one won't arrive, so
+    /// it may be requested again at once.
     pub fn on_connected(&mut self) {
-        if let Some(loading) = &mut self.loading {
-            loading.asked_at = Millis::ZERO;
+        if let Some(transfer) = &mut self.transfer {
+            transfer.requested_at = Millis::ZERO;
         }
     }
 
-    /// Takes a part.
+    /// Adds a part that has arrived.
     pub fn take(&mut self, part: ConfigurationPart, now: Millis) -> PartOutcome {
-        let awaited = self.loading.as_mut();
-        let Some(loading) = awaited.filter(|loading| loading.next == part.place) else {
+        let awaited = self.transfer.as_mut();
+        let Some(transfer) = awaited.filter(|transfer| transfer.next == part.place) else {
             return PartOutcome::Ignored;
         };
         match part.content.into_inner() {
-            PartContent::Rest(rest) => loading.configuration = rest,
+            PartContent::Rest(rest) => transfer.configuration = rest,
             PartContent::Backends(records) => {
                 let records = records.into_iter();
                 let by_id = records.map(|record| (record.registration.id.clone(), record));
-                loading.configuration.backends.extend(by_id);
+                transfer.configuration.backends.extend(by_id);
             }
         }
-        loading.next.number += 1;
-        loading.asked_at = now;
-        if loading.next.number < part.parts {
-            return PartOutcome::Next(loading.next);
+        transfer.next.number += 1;
+        transfer.requested_at = now;
+        if transfer.next.number < part.parts {
+            return PartOutcome::Next(transfer.next);
         }
-        let whole = self.loading.take().map(|loading| loading.configuration);
-        whole.map_or(PartOutcome::Ignored, PartOutcome::Complete)
+        let complete = self.transfer.take().map(|transfer| transfer.configuration);
+        complete.map_or(PartOutcome::Ignored, PartOutcome::Complete)
     }
 }
--- a/components/control/src/copies.rs
+++ b/components/control/src/copies.rs
@@ -1,9 +1,9 @@
-//! Which engines hold which prefixes of prompts, as gateways tell it.
+//! Which engines hold which prompt prefixes, as reported by gateways.
 //!
-//! A gateway sees only what it had read itself. Told of the others' copies, it
-//! has a prefix copied from an engine that holds it, in place of having it
-//! read again. This is a belief: it is never logged, bounded, and a new leader
-//! starts without it.
+//! A gateway sees only the prompts that it had prefilled itself. With the copies of its
+//! peers it can have a prefix copied from an engine that holds it instead of having it
+//! prefilled again. The table is only an estimate: it is bounded, never logged, and a new
+//! leader starts without it.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -13,51 +13,51 @@
 use crate::load_digest::MembersHash;
 use crate::messages::{CopyUpdates, PositionedCopy, PromptCopy};
 
-/// Notes that are kept for gateways that were not told of them yet.
-const MOST_NOTES: usize = 4096;
-/// Notes that one answer carries at most, at some 7 bytes each.
-const MOST_IN_ANSWER: usize = 256;
-/// A note older than this is hardly true any more.
-const FRESH: Millis = Millis::from_secs(20);
+/// Maximum number of reports that are kept for gateways that have not been sent them.
+const MAX_REPORTS: usize = 4096;
+/// Maximum number of copies in one answer, at about 7 bytes each.
+const MAX_IN_ANSWER: usize = 256;
+/// An older report is probably no longer true.
+const REPORT_LIFETIME: Millis = Millis::from_secs(20);
 
 #[derive(Debug)]
-struct Note {
-    noted_at: Millis,
+struct Report {
+    received_at: Millis,
     by: GatewayId,
     prefix: PrefixId,
     backend: BackendId,
-    /// Place of the back end in the configuration.
-    place: Option<u16>,
-    /// Set where the back end has started again since.
+    /// Position of the back end in the configuration.
+    position: Option<u16>,
+    /// Set once the back end has restarted, which empties its KV cache.
     is_void: bool,
 }
 
-/// The latest notes, and how far each gateway has heard them.
+/// The latest reports, and a cursor for each gateway: how far it has received them.
 ///
-/// Notes are numbered in the order in which they came, without a gap.
+/// Reports are numbered in the order of arrival, without gaps.
 #[derive(Debug, Default)]
 pub(crate) struct Copies {
-    notes: VecDeque<Note>,
+    reports: VecDeque<Report>,
     next_number: u64,
-    heard_before: BTreeMap<GatewayId, u64>,
-    /// Number of the oldest note when marks of gateways were looked through last.
-    looked_through_at: u64,
-    places: Places,
+    cursors: BTreeMap<GatewayId, u64>,
+    /// Number of the oldest report when stale cursors were removed last.
+    cursors_pruned_at: u64,
+    positions: Positions,
 }
 
-/// Places of the back ends of a configuration.
+/// Positions of the back ends of a configuration.
 #[derive(Debug, Default)]
-struct Places {
+struct Positions {
     index: u64,
     members: MembersHash,
     by_id: BTreeMap<BackendId, u16>,
 }
 
-impl Places {
+impl Positions {
     fn of(configuration: &Configuration) -> Self {
         let ids = configuration.backends.keys();
         let by_id = ids.cloned().zip(0..).collect();
-        Places {
+        Positions {
             index: configuration.index,
             members: MembersHash::of(configuration.backends.keys()),
             by_id,
@@ -66,14 +66,14 @@
 }
 
 impl Copies {
-    /// Takes the word of a gateway.
+    /// Records the copies that a gateway reports.
     pub(crate) fn record(&mut self, by: &GatewayId, copies: Vec<PromptCopy>, now: Millis) {
         for copy in copies {
-            self.notes.push_back(Note {
-                noted_at: now,
+            self.reports.push_back(Report {
+                received_at: now,
                 by: by.clone(),
                 prefix: copy.prefix,
-                place: self.places.by_id.get(&copy.backend).copied(),
+                position: self.positions.by_id.get(&copy.backend).copied(),
                 backend: copy.backend,
                 is_void: false,
             });
@@ -82,56 +82,55 @@
         self.forget_old(now);
     }
 
-    /// Forgets what an engine held that has started again since. Its notes stay
-    /// in their places and tell nothing.
+    /// Forgets the copies of an engine that has restarted. Its reports keep their numbers
+    /// but are not sent any more.
     pub(crate) fn on_restart(&mut self, engine: &BackendId) {
-        let is_its = |note: &&mut Note| note.backend == *engine;
-        for note in self.notes.iter_mut().filter(is_its) {
-            note.is_void = true;
+        let is_its = |report: &&mut Report| report.backend == *engine;
+        for report in self.reports.iter_mut().filter(is_its) {
+            report.is_void = true;
         }
     }
 
-    /// What others told since `gateway` heard of it last, the oldest first.
+    /// Copies that peers of `gateway` reported since it was sent the last ones, oldest
+    /// first.
     pub(crate) fn updates_for(
         &mut self,
         gateway: &GatewayId,
         configuration: &Configuration,
     ) -> CopyUpdates {
-        self.place_all(configuration);
+        self.update_positions(configuration);
         let first = self.first_number();
-        let from = self
-            .heard_before
-            .get(gateway)
-            .copied()
-            .unwrap_or(0)
-            .max(first);
-        let mut heard = from;
+        let from = self.cursors.get(gateway).copied().unwrap_or(0).max(first);
+        let mut cursor = from;
         let mut copies = Vec::new();
-        for note in self.notes.iter().skip((from - first) as usize) {
-            if copies.len() == MOST_IN_ANSWER {
+        for report in self.reports.iter().skip((from - first) as usize) {
+            if copies.len() == MAX_IN_ANSWER {
                 break;
             }
-            heard += 1;
-            if let Some(place) = note.place.filter(|_| note.by != *gateway && !note.is_void) {
-                let prefix = note.prefix;
+            cursor += 1;
+            if let Some(place) = report
+                .position
+                .filter(|_| report.by != *gateway && !report.is_void)
+            {
+                let prefix = report.prefix;
                 copies.push(PositionedCopy { prefix, place });
             }
         }
-        self.heard_before.insert(gateway.clone(), heard);
+        self.cursors.insert(gateway.clone(), cursor);
         CopyUpdates {
-            members: self.places.members,
+            members: self.positions.members,
             copies,
         }
     }
 
-    /// Places the notes by this configuration.
-    fn place_all(&mut self, configuration: &Configuration) {
-        if self.places.index == configuration.index {
+    /// Recomputes the positions of all reports if the configuration has changed.
+    fn update_positions(&mut self, configuration: &Configuration) {
+        if self.positions.index == configuration.index {
             return;
         }
-        self.places = Places::of(configuration);
-        for note in &mut self.notes {
-            note.place = self.places.by_id.get(&note.backend).copied();
+        self.positions = Positions::of(configuration);
+        for report in &mut self.reports {
+            report.position = self.positions.by_id.get(&report.backend).copied();
         }
     }
 
@@ -139,23 +138,23 @@
         *self = Copies::default();
     }
 
-    /// Number of the oldest note that is kept.
+    /// Number of the oldest report that is kept.
     fn first_number(&self) -> u64 {
-        self.next_number - self.notes.len() as u64
+        self.next_number - self.reports.len() as u64
     }
 
     fn forget_old(&mut self, now: Millis) {
-        let is_old = |note: &Note| now.since(note.noted_at) > FRESH;
-        while self.notes.len() > MOST_NOTES || self.notes.front().is_some_and(is_old) {
-            self.notes.pop_front();
+        let is_old = |report: &Report| now.since(report.received_at) > REPORT_LIFETIME;
+        while self.reports.len() > MAX_REPORTS || self.reports.front().is_some_and(is_old) {
+            self.reports.pop_front();
         }
-        // A gateway that is gone leaves its mark until all notes of then are, and
-        // as many after them: to look through the marks of all gateways with each
-        // report of one would cost the square of the gateways.
+        // The cursor of a gateway that is gone is removed only after MAX_REPORTS further
+        // reports: to check all cursors with each report would cost the square of the
+        // number of gateways.
         let first = self.first_number();
-        if first >= self.looked_through_at + MOST_NOTES as u64 {
-            self.looked_through_at = first;
-            self.heard_before.retain(|_, heard| *heard >= first);
+        if first >= self.cursors_pruned_at + MAX_REPORTS as u64 {
+            self.cursors_pruned_at = first;
+            self.cursors.retain(|_, cursor| *cursor >= first);
         }
     }
 }
--- a/components/control/src/duties.rs
+++ b/components/control/src/duties.rs
@@ -1,10 +1,10 @@
-//! Duties towards the platform that one replica does at a time.
+//! Duties towards the platform, which one replica holds at a time.
 //!
-//! The holder is the leader, under its lease. It begins a tenure with a command
-//! of the log; the index of that command is the fencing token of its calls,
-//! which no other holder can ever use and which rises from one tenure to the
-//! next. A holder whose call was refused, or may still be carried out, begins
-//! another tenure before it calls again: the former call is void from then on.
+//! The holder is the leader, under its lease. It begins a tenure with a log command; the
+//! log index of that command is the fencing token of its calls. No other holder can use
+//! the same token, and tokens increase from one tenure to the next. A holder whose call
+//! was refused, or may still be carried out, begins another tenure before it calls again,
+//! which makes the earlier call void.
 
 use garnet_planner::EngineKind;
 use garnet_types::{Millis, ReplicaId, ServiceId, UsageWindow};
@@ -12,40 +12,41 @@
 
 use crate::usage::WindowCounts;
 
-/// Tenures that are remembered, to know whether a holder comes back.
-const REMEMBERED: usize = 4;
+/// Number of tenures that are kept, to detect a holder that held the duties before.
+const KEPT_TENURES: usize = 4;
 
-/// The right to call, from one command of the log on.
+/// The right to call the platform, given by one log command.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Tenure {
-    /// Who holds it.
+    /// The replica that holds it.
     pub holder: ReplicaId,
-    /// The term that its holder leads.
+    /// Term in which the holder is the leader.
     pub term: u64,
-    /// Log index: the fencing token.
+    /// The fencing token, a log index.
     pub token: u64,
 }
 
-/// The present tenure and the ones before it.
+/// The current tenure and the ones before it.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Tenures {
-    /// The newest one first.
+    /// The tenures, newest first.
     latest: Vec<Tenure>,
 }
 
 impl Tenures {
-    /// A holder begins a tenure.
+    /// Begins a tenure.
     pub(crate) fn begin(&mut self, tenure: Tenure) {
         self.latest.insert(0, tenure);
-        self.latest.truncate(REMEMBERED);
+        self.latest.truncate(KEPT_TENURES);
     }
 
-    /// The present tenure.
+    /// The current tenure.
     pub fn current(&self) -> Option<&Tenure> {
         self.latest.first()
     }
 
-    /// What a new holder has to wait for before its first call.
+    /// Who held the duties before `holder`, which decides how long it waits before its
+    /// first call.
     pub(crate) fn predecessor_of(&self, holder: ReplicaId) -> Predecessor {
         match self
             .latest
@@ -60,17 +61,17 @@
     }
 }
 
-/// Who held a duty before a holder.
+/// Who held the duties before a holder.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Predecessor {
-    /// Nobody, as far as remembered.
+    /// No replica, as far as tenures are kept.
     Nobody,
     /// The holder itself.
     Itself,
     /// Another replica.
     Another,
-    /// Another replica, and the holder itself before that: the two must not be
-    /// seen to take turns.
+    /// Another replica, and the holder itself before that: the platform must not see the
+    /// two alternate.
     AnotherAfterItself,
 }
 
@@ -79,25 +80,25 @@
 pub struct DutySettings {
     /// Whether the platform refuses calls with a lower token than it has seen.
     pub fences_checked: bool,
-    /// Within this time two holders must not be seen to take turns.
+    /// Time within which the platform must not see two holders alternate.
     pub alternation_window: Millis,
-    /// Longest time that a call takes; its connection is closed then.
+    /// Longest duration of a call, after which its connection is closed.
     pub call_timeout: Millis,
-    /// Length of the windows over which usage is told; `None` tells none.
+    /// Length of the windows for which usage is reported; `None` reports none.
     pub usage_window: Option<Millis>,
-    /// Whether engines are bought and given back.
+    /// Whether engines are bought and released.
     pub buys_engines: bool,
 }
 
-/// On top of every wait: a clock that runs slow, a call that is on its way.
+/// Added to every wait, for slow clocks and for calls in flight.
 const WAIT_MARGIN: Millis = Millis(500);
 
 impl DutySettings {
     /// How long a new holder waits from the beginning of its term.
-    pub(crate) fn wait_after(&self, before: Predecessor) -> Millis {
-        match before {
+    pub(crate) fn wait_after(&self, predecessor: Predecessor) -> Millis {
+        match predecessor {
             Predecessor::Nobody | Predecessor::Itself => Millis::ZERO,
-            // What the former holder has sent is void by its token.
+            // The token makes calls of the previous holder void.
             Predecessor::Another if self.fences_checked => Millis::ZERO,
             Predecessor::Another => self.call_timeout + WAIT_MARGIN,
             Predecessor::AnotherAfterItself => {
@@ -112,35 +113,35 @@
 pub struct DutyCall {
     /// Fencing token.
     pub token: u64,
-    /// What is told or ordered.
+    /// What is reported or ordered.
     pub duty: Duty,
 }
 
-/// What is told or ordered.
+/// What is reported or ordered.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Duty {
-    /// Usage in a window, which never changes.
+    /// Reports the usage in a closed window, which never changes.
     Usage {
         /// The window.
         window: UsageWindow,
         /// Requests by tenant.
         counts: WindowCounts,
     },
-    /// How many engines of a kind a zone shall have.
+    /// Orders the number of engines of one kind in a zone.
     Fleet {
-        /// Their service.
+        /// Service of the engines.
         service: ServiceId,
         /// The zone.
         zone: String,
-        /// Their kind.
+        /// Kind of the engines.
         kind: EngineKind,
-        /// How many.
+        /// Wanted number of engines.
         engines: u32,
     },
 }
 
-/// What calls are about: of those about one subject the platform takes none
-/// with a lower token than it has seen, and one at a time is under way.
+/// Subject of a call. Of the calls about one subject the platform refuses those with a
+/// lower token than it has seen, and at most one is in flight.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Subject {
     /// Usage in all windows.
@@ -157,10 +158,10 @@
         }
     }
 
-    /// Whether a call that is carried out later than the next one does harm.
+    /// Returns whether the call does no harm when it is carried out after the next one.
     pub(crate) fn may_arrive_late(&self) -> bool {
         match self {
-            // It says the same whenever it comes.
+            // A closed window never changes, so a late call reports the same counts.
             Duty::Usage { .. } => true,
             Duty::Fleet { .. } => false,
         }
@@ -170,18 +171,19 @@
 /// How a call ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DutyAnswer {
-    /// It was carried out.
+    /// The call was carried out.
     Done,
-    /// It was refused: a higher token was seen, or it can't be carried out now.
+    /// The platform refused the call: it has seen a higher token, or it can't carry out
+    /// the call now.
     Refused,
-    /// Too many calls are made.
+    /// The platform refused the call because of too many calls.
     Throttled,
-    /// No answer came: it may be carried out, also later.
+    /// No answer arrived; the call may have been or may yet be carried out.
     Unknown,
 }
 
 impl DutyAnswer {
-    /// Name in logs and metrics.
+    /// Name of the answer in logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             DutyAnswer::Done => "done",
--- a/components/control/src/effects.rs
+++ b/components/control/src/effects.rs
@@ -1,4 +1,4 @@
-//! What a replica takes and what it wants done.
+//! Events that a replica handles, and the effects that it asks its driver for.
 
 use garnet_consensus::Envelope;
 use garnet_planner::PhaseOccupancy;
@@ -16,14 +16,14 @@
 use crate::messages::{ControlReply, GatewayRequest, JoinRequest};
 use crate::operator::{OperatorAnswer, OperatorRequest};
 
-/// One line of the platform's list of machines.
+/// One entry of the platform's list of machines.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MachineEntry {
     /// The back end on the machine.
     pub registration: BackendRegistration,
-    /// What the platform believes of the machine.
+    /// State of the machine.
     pub state: MachineState,
-    /// What the platform saw the engine to be, where it tells that.
+    /// State of the engine, if the platform reports it.
     #[serde(default)]
     pub observed: Option<EngineObservation>,
     /// Whether the provider may take the machine away.
@@ -31,41 +31,41 @@
     pub is_preemptible: bool,
 }
 
-/// A question to an engine.
+/// A request to an engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum EngineRequest {
-    /// How it is.
+    /// Report the status.
     Status,
-    /// Become another.
+    /// Take another assignment.
     Order(EngineOrder),
 }
 
-/// Something that happened.
+/// An event that a replica handles.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
     /// Time has passed.
     Tick,
-    /// A message of another replica.
+    /// A message from another replica.
     Peer(Envelope),
-    /// A request of a gateway; `connection` takes the reply.
+    /// A request from a gateway.
     Gateway {
-        /// Where the reply goes.
+        /// Connection on which the reply is sent.
         connection: u64,
         /// The request.
         request: GatewayRequest,
     },
-    /// A question of an operator; `ticket` takes the answer.
+    /// A request from an operator.
     Operator {
-        /// Where the answer goes.
+        /// Identifies the request; the answer carries the same ticket.
         ticket: u64,
-        /// The question.
+        /// The request.
         request: OperatorRequest,
     },
-    /// An engine told its state.
+    /// An engine reported its status.
     EngineStatus {
         /// The engine.
         engine: BackendId,
-        /// Its state.
+        /// Its status.
         status: EngineStatus,
     },
     /// An engine answered an order.
@@ -75,113 +75,112 @@
         /// Its answer.
         answer: OrderAnswer,
     },
-    /// The platform's list, which lags.
+    /// The platform's list of machines, which lags behind.
     Machines(Vec<MachineEntry>),
-    /// A replica asks to be a member.
+    /// A replica asks to join the group.
     Join(JoinRequest),
-    /// A member has opened a connection and speaks this version.
+    /// A member has opened a connection that uses this version.
     MemberOpened {
         /// The member.
         id: ReplicaId,
         /// The version.
         version: EncodingVersion,
     },
-    /// A gateway has opened a connection that speaks this version.
+    /// A gateway has opened a connection that uses this version.
     GatewayOpened {
         /// The connection.
         connection: u64,
         /// The version.
         version: EncodingVersion,
     },
-    /// A gateway's connection is over.
+    /// A gateway's connection has closed.
     GatewayClosed {
         /// The connection.
         connection: u64,
     },
     /// A call to the platform ended.
     DutyAnswered {
-        /// What was called.
+        /// The call.
         call: DutyCall,
         /// How it ended.
         answer: DutyAnswer,
     },
 }
 
-/// Where and why a replica applies no more of its log.
+/// Where and why a replica has stopped applying its log.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Halted {
-    /// The entry that it can't read.
+    /// Index of the entry that it can't read.
     pub index: u64,
-    /// Why.
+    /// Why it can't read the entry.
     pub cause: EntryError,
 }
 
-/// Something to be done.
+/// An action that a replica asks its driver for.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Effect {
     /// Send a message to a replica.
     SendPeer(Envelope),
     /// Reply to a gateway.
     ReplyGateway {
-        /// Where the reply goes.
+        /// Connection of the request.
         connection: u64,
         /// The reply.
         reply: ControlReply,
     },
     /// Answer an operator.
     AnswerOperator {
-        /// Where the answer goes.
+        /// Ticket of the request.
         ticket: u64,
         /// The answer.
         answer: OperatorAnswer,
     },
-    /// Ask an engine. The driver reads the clock and asks
-    /// [`crate::Replica::may_send_order`] again just before it sends an order.
+    /// Send a request to an engine. Just before it sends an order, the driver reads the
+    /// clock and checks [`crate::Replica::may_send_order`] again.
     AskEngine {
         /// The engine.
         engine: BackendId,
         /// Its address.
         address: String,
-        /// The question.
+        /// The request.
         request: EngineRequest,
     },
-    /// Call the platform. The driver reads the clock and asks
-    /// [`crate::Replica::may_call`] again just before it does, and answers with
-    /// [`Event::DutyAnswered`] in any case.
+    /// Call the platform. Just before the call, the driver reads the clock and checks
+    /// [`crate::Replica::may_call`] again; it reports [`Event::DutyAnswered`] in any case.
     CallPlatform(DutyCall),
-    /// Pass a wish to join on to the leader.
+    /// Forward a join request to the leader.
     ForwardJoin {
         /// The leader's address for peers.
         address: String,
-        /// The wish.
+        /// The request.
         request: JoinRequest,
     },
-    /// The leader states a role for an engine, to balance the phases.
+    /// The leader assigned a role to an engine to balance prefill and decode.
     Balanced {
         /// The engine.
         engine: BackendId,
-        /// What it shall become.
+        /// The new assignment.
         assignment: EngineAssignment,
-        /// What was seen.
+        /// Occupancy of the pool that led to the change.
         occupancy: PhaseOccupancy,
     },
-    /// The leader changes the group.
+    /// The leader changes the members of the group.
     GroupChanged {
-        /// The step that it takes.
+        /// The change.
         step: GroupStep,
     },
-    /// The replica applies no more of its log, until another build runs there.
+    /// The replica has stopped applying its log until another build runs there.
     Halted(Halted),
-    /// The leader refuses a request from now on.
+    /// The leader quarantined a request.
     Quarantined(Verdict),
-    /// The replica began to lead in this term.
+    /// The replica became the leader.
     BecameLeader {
         /// The term.
         term: u64,
     },
-    /// The replica stopped leading.
+    /// The replica is no longer the leader.
     LostLeadership {
-        /// The term in which it led.
+        /// The term in which it was the leader.
         term: u64,
     },
 }
--- a/components/control/src/fleet_health.rs
+++ b/components/control/src/fleet_health.rs
@@ -1,9 +1,9 @@
-//! Which back ends are failing, as the requests of all gateways show it.
+//! Which back ends are failing, judged by the requests of all gateways.
 //!
-//! A gateway of hundreds meets a failed back end once in a while; together they
-//! know within some hundred milliseconds. One gateway alone proves nothing: the
-//! fault may lie on its own path. This is a belief: it is never logged, fades,
-//! and a new leader starts without it.
+//! One of hundreds of gateways rarely sends a request to a given failed back end; all
+//! together detect it within a few hundred milliseconds. Failures at a single gateway
+//! prove nothing, as the fault may be on its own network path. The result is only an
+//! estimate: it is never logged, decays, and a new leader starts without it.
 
 use std::collections::BTreeMap;
 
@@ -11,23 +11,23 @@
 
 use crate::messages::Evidence;
 
-/// Weight of what was seen is halved in this time: long enough for some requests
-/// at each back end of a large pool (three a second), short against the time
-/// that a failed back end stays on the platform's list.
-const HALVED: Millis = Millis(1000);
-/// A back end that can't be reached says more than one that fails a request.
+/// Half-life of the weight of a request's outcome: long enough for a few requests at each
+/// back end of a large pool (three a second), and short compared to the time that a failed
+/// back end stays on the platform's list.
+const HALF_LIFE: Millis = Millis(1000);
+/// Weight of an unreachable back end; it is stronger evidence than a failed request.
 const UNREACHABLE_WEIGHT: f64 = 2.0;
-/// Gateways that must have seen failures, where there are so many.
-const WITNESSES: usize = 2;
-/// For how long a gateway is a witness.
-const WITNESS_FOR: Millis = Millis::from_secs(3);
-/// A back end is failing when so much more of its requests fail than of the
-/// service's in the mean: callers' own faults strike all alike.
-const BEYOND_MEAN: f64 = 0.25;
-/// More failures than this are failing whatever the others do.
-const SURELY: f64 = 0.75;
+/// Number of gateways that must have health failures, or all gateways if there are fewer.
+const MIN_WITNESSES: usize = 2;
+/// How long a gateway that saw a failure counts as a witness.
+const WITNESS_DURATION: Millis = Millis::from_secs(3);
+/// A back end is failing if the fraction of its requests that fail exceeds the mean of its
+/// service by more than this. Faults of callers affect all back ends of a service equally.
+const MAX_ABOVE_MEAN: f64 = 0.25;
+/// A back end with a larger fraction of failed requests is failing whatever the mean is.
+const MAX_FAILED_FRACTION: f64 = 0.75;
 
-/// Requests that ended well or not, weighted by age.
+/// Answered and failed requests, weighted by age.
 #[derive(Debug, Clone, Copy, Default)]
 struct Tally {
     answered: f64,
@@ -41,65 +41,73 @@
         self.failed += f64::from(evidence.unreachable) * UNREACHABLE_WEIGHT;
     }
 
-    fn faded(&self, part: f64) -> Self {
+    fn decayed(&self, factor: f64) -> Self {
         Tally {
-            answered: self.answered * part,
-            failed: self.failed * part,
+            answered: self.answered * factor,
+            failed: self.failed * factor,
         }
     }
 
-    /// Part of the requests that failed; little evidence counts for less.
-    fn failed_part(&self) -> f64 {
+    /// Fraction of the requests that failed, biased towards zero if there are few requests.
+    fn failed_fraction(&self) -> f64 {
         self.failed / (self.answered + self.failed + 1.0)
     }
 }
 
 #[derive(Debug, Default)]
-struct Seen {
+struct BackendHealth {
     tally: Tally,
     at: Millis,
     witnesses: BTreeMap<GatewayId, Millis>,
 }
 
-impl Seen {
+impl BackendHealth {
     fn tally_at(&self, now: Millis) -> Tally {
         let age = now.since(self.at).as_secs_f64();
-        self.tally.faded((-age / HALVED.as_secs_f64()).exp2())
+        self.tally.decayed((-age / HALF_LIFE.as_secs_f64()).exp2())
     }
 
     fn witnesses(&self, now: Millis) -> usize {
-        let counts = |at: &&Millis| now.since(**at) <= WITNESS_FOR;
+        let counts = |at: &&Millis| now.since(**at) <= WITNESS_DURATION;
         self.witnesses.values().filter(counts).count()
     }
 }
 
-/// What all gateways saw of the back ends.
+/// Request outcomes of all gateways, by back end.
 #[derive(Debug, Default)]
 pub(crate) struct FleetHealth {
-    seen: BTreeMap<BackendId, Seen>,
+    by_backend: BTreeMap<BackendId, BackendHealth>,
 }
 
 impl FleetHealth {
-    /// Takes what a gateway saw since it told last.
-    pub(crate) fn record(&mut self, gateway: &GatewayId, evidence: Vec<Evidence>, now: Millis) {
+    /// Records the request outcomes that a gateway reports.
+    pub(crate) fn record_outcomes(
+        &mut self,
+        gateway: &GatewayId,
+        evidence: Vec<Evidence>,
+        now: Millis,
+    ) {
         for evidence in evidence {
-            let seen = self.seen.entry(evidence.backend.clone()).or_default();
-            seen.tally = seen.tally_at(now);
-            seen.at = now;
-            seen.tally.add(&evidence);
-            seen.witnesses.retain(|_, at| now.since(*at) <= WITNESS_FOR);
+            let health = self.by_backend.entry(evidence.backend.clone()).or_default();
+            health.tally = health.tally_at(now);
+            health.at = now;
+            health.tally.add(&evidence);
+            health
+                .witnesses
+                .retain(|_, at| now.since(*at) <= WITNESS_DURATION);
             if evidence.failed + evidence.unreachable > 0 {
-                seen.witnesses.insert(gateway.clone(), now);
+                health.witnesses.insert(gateway.clone(), now);
             }
         }
     }
 
-    /// Forgets back ends that are not among these.
+    /// Forgets back ends for which `is_known` returns false.
     pub(crate) fn keep(&mut self, is_known: impl Fn(&BackendId) -> bool) {
-        self.seen.retain(|id, _| is_known(id));
+        self.by_backend.retain(|id, _| is_known(id));
     }
 
-    /// Whether each of these back ends is failing, when `gateways` report.
+    /// Returns whether each of the back ends is failing; `gateways` is the number of
+    /// gateways that report.
     pub(crate) fn failing<'a>(
         &self,
         backends: impl Iterator<Item = (&'a BackendId, &'a ServiceId)> + Clone,
@@ -108,20 +116,20 @@
     ) -> Vec<bool> {
         let mut services: BTreeMap<&ServiceId, Tally> = BTreeMap::new();
         for (id, service) in backends.clone() {
-            let tally = self.seen.get(id).map(|seen| seen.tally_at(now));
+            let tally = self.by_backend.get(id).map(|health| health.tally_at(now));
             let tally = tally.unwrap_or_default();
             let sum = services.entry(service).or_default();
             sum.answered += tally.answered;
             sum.failed += tally.failed;
         }
-        let needed = WITNESSES.min(gateways.max(1));
+        let needed = MIN_WITNESSES.min(gateways.max(1));
         let is_failing = |(id, service): (&BackendId, &ServiceId)| {
-            let Some(seen) = self.seen.get(id) else {
+            let Some(health) = self.by_backend.get(id) else {
                 return false;
             };
-            let mean = services.get(service).map_or(0.0, Tally::failed_part);
-            let limit = (mean + BEYOND_MEAN).min(SURELY);
-            seen.witnesses(now) >= needed && seen.tally_at(now).failed_part() > limit
+            let mean = services.get(service).map_or(0.0, Tally::failed_fraction);
+            let limit = (mean + MAX_ABOVE_MEAN).min(MAX_FAILED_FRACTION);
+            health.witnesses(now) >= needed && health.tally_at(now).failed_fraction() > limit
         };
         backends.map(is_failing).collect()
     }
--- a/components/control/src/fleet_load.rs
+++ b/components/control/src/fleet_load.rs
@@ -1,9 +1,9 @@
-//! What gateways have under way at back ends, as the leader heard it last, and
-//! the digest of it that they are told.
+//! The work that gateways have in flight at back ends, as last reported to the leader, and
+//! the digest of it that the leader sends to them.
 //!
-//! Each gateway sees only its own work. Told of the others', it sends less
-//! where much is queued already. This is a belief: it is never logged, and a
-//! new leader starts without it.
+//! Each gateway sees only its own work. With the load of its peers it can send less to
+//! back ends that already have long queues. The load is only an estimate: it is never
+//! logged, and a new leader starts without it.
 
 use std::collections::BTreeMap;
 
@@ -15,32 +15,31 @@
 use crate::messages::{Backlog, Evidence};
 use crate::priority_counts::PriorityCounts;
 
-/// What a gateway told longer ago than this is over by now.
-const FRESH: Millis = Millis(1000);
-/// Digests that one gateway is sent in a millisecond, in bytes: two thirds of
-/// the 24 KB a second that control may cost a node.
+/// A report older than this no longer counts: the work in it has ended by then.
+const REPORT_LIFETIME: Millis = Millis(1000);
+/// Digest bytes that one gateway is sent per millisecond: two thirds of the 24 KB/s that
+/// control traffic may use on a node.
 const DIGEST_BYTES_PER_MS: u64 = 16;
-/// Shortest time between two digests: what changed in less is not worth a
-/// message.
-const SHORTEST_INTERVAL: Millis = Millis(25);
+/// Shortest time between two digests; what changes in less is not worth a message.
+const MIN_DIGEST_INTERVAL: Millis = Millis(25);
 
-/// The latest word of one gateway.
+/// The latest report of one gateway.
 #[derive(Debug)]
 struct Report {
-    heard_at: Millis,
+    received_at: Millis,
     /// By the gateway's clock.
     sent_at: Millis,
     backlogs: Vec<Backlog>,
 }
 
-/// A digest and what it was made of.
+/// The latest digest, and the reports that it includes.
 #[derive(Debug)]
-struct Made {
+struct LatestDigest {
     digest: LoadDigest,
     at: Millis,
-    /// Rises with each digest.
+    /// Increases with each digest.
     number: u64,
-    /// When each gateway sent the report that is counted.
+    /// When each gateway sent the report that the digest includes.
     counted: BTreeMap<GatewayId, Millis>,
 }
 
@@ -49,16 +48,16 @@
 pub(crate) struct FleetLoad {
     reports: BTreeMap<GatewayId, Report>,
     health: FleetHealth,
-    made: Option<Made>,
-    /// Number of the digest that each gateway was told last.
-    told: BTreeMap<GatewayId, u64>,
+    latest: Option<LatestDigest>,
+    /// Number of the digest that each gateway was sent last.
+    sent: BTreeMap<GatewayId, u64>,
     /// Hash of the back ends of the configuration at this index.
     members: (u64, MembersHash),
 }
 
 impl FleetLoad {
-    /// Takes the word of a gateway.
-    pub(crate) fn record(
+    /// Records a gateway's report.
+    pub(crate) fn record_report(
         &mut self,
         gateway: &GatewayId,
         sent_at: Millis,
@@ -66,16 +65,16 @@
         evidence: Vec<Evidence>,
         now: Millis,
     ) {
-        self.health.record(gateway, evidence, now);
+        self.health.record_outcomes(gateway, evidence, now);
         let report = Report {
-            heard_at: now,
+            received_at: now,
             sent_at,
             backlogs,
         };
         self.reports.insert(gateway.clone(), report);
     }
 
-    /// The digest for a gateway, where there is one that it was not told yet.
+    /// The digest for a gateway, if there is one that it was not sent yet.
     pub(crate) fn digest_for(
         &mut self,
         gateway: &GatewayId,
@@ -87,27 +86,27 @@
             self.members = (configuration.index, members);
         }
         let members = self.members.1;
-        let is_due = self.made.as_ref().is_none_or(|made| {
-            let interval = made.digest.len_bytes() as u64 / DIGEST_BYTES_PER_MS;
-            let interval = Millis(interval).max(SHORTEST_INTERVAL);
-            !made.digest.is_of(members) || now.since(made.at) >= interval
+        let is_due = self.latest.as_ref().is_none_or(|latest| {
+            let interval = latest.digest.len_bytes() as u64 / DIGEST_BYTES_PER_MS;
+            let interval = Millis(interval).max(MIN_DIGEST_INTERVAL);
+            !latest.digest.is_of(members) || now.since(latest.at) >= interval
         });
         if is_due {
             self.make(members, configuration, now);
         }
-        let made = self.made.as_ref()?;
-        let told = self.told.insert(gateway.clone(), made.number);
-        (told != Some(made.number)).then(|| GatewayDigest {
-            digest: made.digest.clone(),
-            counted: made.counted.get(gateway).copied(),
+        let latest = self.latest.as_ref()?;
+        let sent = self.sent.insert(gateway.clone(), latest.number);
+        (sent != Some(latest.number)).then(|| GatewayDigest {
+            digest: latest.digest.clone(),
+            counted: latest.counted.get(gateway).copied(),
         })
     }
 
     fn make(&mut self, members: MembersHash, configuration: &Configuration, now: Millis) {
         self.reports
-            .retain(|_, report| now.since(report.heard_at) <= FRESH);
+            .retain(|_, report| now.since(report.received_at) <= REPORT_LIFETIME);
         let reports = &self.reports;
-        self.told.retain(|gateway, _| reports.contains_key(gateway));
+        self.sent.retain(|gateway, _| reports.contains_key(gateway));
         let backends = &configuration.backends;
         self.health.keep(|id| backends.contains_key(id));
         let sums = self.sums(now);
@@ -126,10 +125,10 @@
         };
         let states = backends.keys().zip(failing).map(state);
         let digest = LoadDigest::encode(members, states);
-        let number = self.made.as_ref().map_or(0, |made| made.number + 1);
+        let number = self.latest.as_ref().map_or(0, |latest| latest.number + 1);
         let counted = self.reports.iter();
         let counted = counted.map(|(gateway, report)| (gateway.clone(), report.sent_at));
-        self.made = Some(Made {
+        self.latest = Some(LatestDigest {
             digest,
             at: now,
             number,
@@ -137,25 +136,25 @@
         });
     }
 
-    /// The sum over all gateways, by back end.
+    /// The work of all gateways, by back end.
     pub(crate) fn sums(&self, now: Millis) -> BTreeMap<BackendId, Backlog> {
-        let fresh = |report: &&Report| now.since(report.heard_at) <= FRESH;
+        let fresh = |report: &&Report| now.since(report.received_at) <= REPORT_LIFETIME;
         let reports = self.reports.values().filter(fresh);
         sum(reports.flat_map(|report| &report.backlogs))
     }
 
-    /// How far the clocks of the gateways are ahead of this one, in the median
-    /// of all, this one among them. A few clocks that jump do not move it.
+    /// How far the gateways' clocks are ahead of this one: the median over all gateways
+    /// and this clock itself, which a few clocks that jump do not change.
     pub(crate) fn clocks_ahead_ms(&self, now: Millis) -> i64 {
-        let fresh = |report: &&Report| now.since(report.heard_at) <= FRESH;
+        let fresh = |report: &&Report| now.since(report.received_at) <= REPORT_LIFETIME;
         let reports = self.reports.values().filter(fresh);
-        let ahead = |report: &Report| report.sent_at.0 as i64 - report.heard_at.0 as i64;
+        let ahead = |report: &Report| report.sent_at.0 as i64 - report.received_at.0 as i64;
         let mut all: Vec<i64> = reports.map(ahead).chain([0]).collect();
         let middle = all.len() / 2;
         *all.select_nth_unstable(middle).1
     }
 
-    /// Forgets how requests ended at a back end that has started again since.
+    /// Forgets how requests ended at a back end that has restarted.
     pub(crate) fn on_restart(&mut self, backend: &BackendId) {
         self.health.keep(|id| id != backend);
     }
--- a/components/control/src/fleet_sizing.rs
+++ b/components/control/src/fleet_sizing.rs
@@ -1,5 +1,5 @@
-//! The leader's orders for engines that are bought and given back: what the
-//! platform was asked for, what its list shows, and when to ask again.
+//! The leader's orders to buy and to release engines: what was ordered, what the
+//! platform's list shows, and when to order again.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,18 +10,17 @@
 use crate::duties::{Duty, DutyAnswer};
 use crate::effects::MachineEntry;
 
-/// How long the list must show no more dedicated engines than before, until any
-/// is given back: it comes in parts when all starts.
-const SETTLED_AFTER: Millis = Millis(2500);
-/// The list trails by so much: an order that was carried out shows this much
-/// later than its engines serve.
-const LIST_TRAILS: Millis = Millis::from_secs(3);
-/// Engines that are given back finish their work before they leave the list.
-const LEAVING_TAKES: Millis = Millis::from_secs(15);
-/// None were to be had: asked again after this time.
-const ASKED_AGAIN_AFTER: Millis = Millis::from_secs(1);
+/// How long the number of dedicated engines in the list must not have grown before any is
+/// released: the list arrives in parts when everything starts.
+const SETTLE_TIME: Millis = Millis(2500);
+/// Delay of the list: engines of an order appear in it this long after they serve.
+const LIST_DELAY: Millis = Millis::from_secs(3);
+/// Time that released engines take to finish their work and leave the list.
+const RELEASE_DURATION: Millis = Millis::from_secs(15);
+/// Time after which an order is repeated if it was not carried out.
+const RETRY_INTERVAL: Millis = Millis::from_secs(1);
 
-/// What an order for engines is about: a zone of a service, and a kind.
+/// Subject of an order for engines: a zone of a service, and a kind.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 struct OrderKey {
     service: ServiceId,
@@ -29,54 +28,53 @@
     kind: EngineKind,
 }
 
-/// The last order of its kind.
+/// The last order for one subject.
 #[derive(Debug, Clone, Copy)]
-struct Ordered {
-    /// How many; `None` where it came to nothing.
+struct LastOrder {
+    /// LastOrder number of engines; `None` if the order was not carried out.
     engines: Option<u32>,
     at: Millis,
-    /// When it may be given again.
-    again_at: Millis,
+    /// When the order may be repeated.
+    retry_at: Millis,
 }
 
-/// Engines of one service as the list shows them.
+/// Engines of one service in the platform's list.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-struct Seen {
-    /// Zones without engines stay known: engines are bought there again.
+struct ListedEngines {
+    /// Zones without engines are kept, as engines may be bought there again.
     zones: BTreeMap<String, ZoneFleet>,
-    /// When more dedicated engines were seen than ever before.
+    /// When the number of dedicated engines last reached a new maximum.
     grew_at: Millis,
-    most_dedicated: u32,
+    max_dedicated: u32,
     dedicated_engines: BTreeSet<BackendId>,
 }
 
-impl Seen {
+impl ListedEngines {
     fn dedicated(&self) -> u32 {
         self.zones.values().map(|zone| zone.dedicated).sum()
     }
 }
 
-/// What the leader remembers of the fleet's size. It can be lost at any time.
+/// State of the fleet's sizing on the leader. It may be lost at any time.
 #[derive(Debug, Default)]
 pub(crate) struct FleetSizing {
-    seen: BTreeMap<ServiceId, Seen>,
-    ordered: BTreeMap<OrderKey, Ordered>,
+    listed: BTreeMap<ServiceId, ListedEngines>,
+    ordered: BTreeMap<OrderKey, LastOrder>,
 }
 
-/// What is to be done about the fleet's size.
+/// A step of the fleet's sizing.
 #[derive(Debug, PartialEq)]
 pub(crate) enum SizingStep {
-    /// Put the number of dedicated engines that the service has into the log: as
-    /// many are needed.
+    /// Record in the log that the service needs as many engines as it has dedicated ones.
     NoteNeeded(ServiceId, u32),
     /// Order engines.
     Order(Duty),
 }
 
 impl FleetSizing {
-    /// Takes the platform's list.
+    /// Updates the listed engines from the platform's list.
     pub(crate) fn update_machines(&mut self, machines: &[MachineEntry], now: Millis) {
-        for service in self.seen.values_mut() {
+        for service in self.listed.values_mut() {
             service
                 .zones
                 .values_mut()
@@ -87,7 +85,7 @@
             .filter(|entry| entry.registration.kind == BackendKind::Engine);
         for entry in engines {
             let service = entry.registration.service.clone();
-            let service = self.seen.entry(service).or_default();
+            let service = self.listed.entry(service).or_default();
             let zone = entry.registration.zone.clone();
             let fleet = service.zones.entry(zone).or_default();
             match (entry.state, entry.is_preemptible) {
@@ -100,16 +98,16 @@
                 (MachineState::Leaving, _) => {}
             }
         }
-        for service in self.seen.values_mut() {
+        for service in self.listed.values_mut() {
             let dedicated = service.dedicated();
-            if dedicated > service.most_dedicated {
-                service.most_dedicated = dedicated;
+            if dedicated > service.max_dedicated {
+                service.max_dedicated = dedicated;
                 service.grew_at = now;
             }
         }
     }
 
-    /// Engines that are given back as soon as others serve in their place.
+    /// Engines that will be released as soon as others serve in their place.
     pub(crate) fn engines_to_release(
         &self,
         routes: &RouteTable,
@@ -117,21 +115,21 @@
     ) -> BTreeSet<BackendId> {
         let mut engines = BTreeSet::new();
         for service in &routes.services {
-            let seen = self.seen.get(&service.name);
-            let (Some(terms), Some(seen)) = (&service.buying, seen) else {
+            let listed = self.listed.get(&service.name);
+            let (Some(terms), Some(listed)) = (&service.buying, listed) else {
                 continue;
             };
             let needed = needed.get(&service.name).copied().unwrap_or_default();
-            let zones: Vec<ZoneFleet> = seen.zones.values().copied().collect();
+            let zones: Vec<ZoneFleet> = listed.zones.values().copied().collect();
             if wanted_fleet(needed, &fleet_terms(terms), &zones).is_some() {
-                engines.extend(seen.dedicated_engines.iter().cloned());
+                engines.extend(listed.dedicated_engines.iter().cloned());
             }
         }
         engines
     }
 
-    /// What is to be done now. `needed` are the engines that services need as
-    /// the log tells.
+    /// The steps to take now. `needed` holds the number of engines that each service needs
+    /// according to the log.
     pub(crate) fn steps(
         &self,
         routes: &RouteTable,
@@ -153,21 +151,21 @@
         let Some(terms) = &service.buying else {
             return Vec::new();
         };
-        let Some(seen) = self.seen.get(&service.name) else {
+        let Some(listed) = self.listed.get(&service.name) else {
             return Vec::new();
         };
-        let dedicated = seen.dedicated();
+        let dedicated = listed.dedicated();
         let needed = needed.copied().unwrap_or_default();
         if dedicated > needed {
             return vec![SizingStep::NoteNeeded(service.name.clone(), dedicated)];
         }
-        let zones: Vec<ZoneFleet> = seen.zones.values().copied().collect();
+        let zones: Vec<ZoneFleet> = listed.zones.values().copied().collect();
         let Some(wanted) = wanted_fleet(needed, &fleet_terms(terms), &zones) else {
             return Vec::new();
         };
-        let is_settled = now.since(seen.grew_at) >= SETTLED_AFTER;
+        let is_settled = now.since(listed.grew_at) >= SETTLE_TIME;
         let mut steps = Vec::new();
-        for ((zone, present), wanted) in seen.zones.iter().zip(&wanted) {
+        for ((zone, present), wanted) in listed.zones.iter().zip(&wanted) {
             for kind in [EngineKind::Preemptible, EngineKind::Dedicated] {
                 if kind == EngineKind::Dedicated && !is_settled {
                     continue;
@@ -186,7 +184,7 @@
         steps
     }
 
-    /// Whether the order has to be given, for the first time or again.
+    /// Returns whether the order has to be sent, for the first time or again.
     fn is_due(
         &self,
         key: &OrderKey,
@@ -198,44 +196,44 @@
         let Some(ordered) = self.ordered.get(key) else {
             return present != wanted;
         };
-        if now < ordered.again_at {
+        if now < ordered.retry_at {
             return false;
         }
         if ordered.engines != Some(wanted) {
             return true;
         }
-        let takes = if present < wanted {
-            start_time + LIST_TRAILS
+        let expected_duration = if present < wanted {
+            start_time + LIST_DELAY
         } else {
-            LEAVING_TAKES
+            RELEASE_DURATION
         };
-        present != wanted && now.since(ordered.at) >= takes
+        present != wanted && now.since(ordered.at) >= expected_duration
     }
 
-    /// An order leaves now.
+    /// Records that an order is sent now.
     pub(crate) fn on_order_sent(&mut self, duty: &Duty, now: Millis) {
         if let Some((key, engines)) = OrderKey::of(duty) {
-            let ordered = Ordered {
+            let ordered = LastOrder {
                 engines: Some(engines),
                 at: now,
-                again_at: now,
+                retry_at: now,
             };
             self.ordered.insert(key, ordered);
         }
     }
 
-    /// An order was answered.
+    /// Handles the answer to an order.
     pub(crate) fn on_answer(&mut self, duty: &Duty, answer: DutyAnswer, now: Millis) {
         if answer == DutyAnswer::Done {
             return;
         }
-        // As if it had never been given; one whose answer was lost is void by
-        // the next one's token.
+        // Treated as if the order had never been sent. If its answer was lost, the token of
+        // the next order makes it void.
         if let Some((key, _)) = OrderKey::of(duty)
             && let Some(ordered) = self.ordered.get_mut(&key)
         {
             ordered.engines = None;
-            ordered.again_at = now + ASKED_AGAIN_AFTER;
+            ordered.retry_at = now + RETRY_INTERVAL;
         }
     }
 }
--- a/components/control/src/gateways.rs
+++ b/components/control/src/gateways.rs
@@ -1,9 +1,10 @@
-//! Leases of the gateways on the configuration, as the leader counts them.
+//! The gateways' leases on the configuration, as tracked by the leader.
 //!
-//! A gateway may take new work until its own `sent_at` plus the lease. The
-//! leader counts from when it answered, which is later, so its view of the end
-//! is never too early. A new leader knows no leases of the former one, but all
-//! of them were given before it was elected: it waits one lease out.
+//! A gateway may take new work until its own `sent_at` plus the lease duration. The leader
+//! counts from the time of its answer, which is later, so it never considers a lease
+//! expired too early. A new leader does not know the leases that the previous leader
+//! granted, but all of them were granted before its election, so it waits for the duration
+//! of one lease.
 
 use std::collections::BTreeMap;
 
@@ -13,10 +14,10 @@
 
 /// How long a gateway may take new work after it asked for a lease.
 pub const CONFIGURATION_LEASE: Millis = Millis(2500);
-/// Added by the leader for clocks that run at different speeds.
-const DRIFT_ALLOWANCE: Millis = Millis(250);
-/// A gateway that was silent for this long is forgotten.
-const FORGET_AFTER: Millis = Millis::from_secs(60);
+/// Added by the leader because clocks run at different speeds.
+const CLOCK_DRIFT_ALLOWANCE: Millis = Millis(250);
+/// A gateway is forgotten this long after its lease has expired.
+const EXPIRED_LEASE_RETENTION: Millis = Millis::from_secs(60);
 
 #[derive(Debug, Clone)]
 struct GatewayLease {
@@ -24,43 +25,45 @@
     lease_end: Millis,
 }
 
-/// All leases that this leader gave.
+/// All leases that this leader has granted.
 #[derive(Debug, Clone, Default)]
 pub struct GatewayLeases {
     leases: BTreeMap<GatewayId, GatewayLease>,
+    /// Until then leases granted by the previous leader may be valid.
     unknown_until: Millis,
-    /// Leases that were held at the last count and since.
-    held: u64,
-    /// Until then none of those ends.
-    held_until: Millis,
-    /// Leases that counting has looked at so far.
+    /// Number of leases that were valid at the last count or granted since.
+    valid_count: u64,
+    /// None of the counted leases expires before this time.
+    next_expiry: Millis,
+    /// Leases that counting has examined so far.
     leases_examined: u64,
 }
 
 impl GatewayLeases {
-    /// Leases at the start of a term: none known, some may run.
+    /// The state at the start of a term: no lease is known, but some may be valid.
     pub fn at_start_of_term(now: Millis) -> Self {
         GatewayLeases {
-            unknown_until: now + CONFIGURATION_LEASE + DRIFT_ALLOWANCE,
+            unknown_until: now + CONFIGURATION_LEASE + CLOCK_DRIFT_ALLOWANCE,
             ..GatewayLeases::default()
         }
     }
 
-    /// Notes a lease that is given now to a gateway that works by `index`.
+    /// Records a lease granted now to a gateway whose configuration has this index.
     pub fn grant(&mut self, gateway: GatewayId, index: u64, now: Millis) {
-        let lease_end = now + CONFIGURATION_LEASE + DRIFT_ALLOWANCE;
+        let lease_end = now + CONFIGURATION_LEASE + CLOCK_DRIFT_ALLOWANCE;
         let lease = GatewayLease {
             confirmed_index: index,
             lease_end,
         };
         let before = self.leases.insert(gateway, lease);
         if before.is_none_or(|before| before.lease_end <= now) {
-            self.held += 1;
-            self.held_until = self.held_until.min(lease_end);
+            self.valid_count += 1;
+            self.next_expiry = self.next_expiry.min(lease_end);
         }
     }
 
-    /// Whether no gateway can take new work by a configuration before `index`.
+    /// Returns whether no gateway can still take new work under a configuration older than
+    /// `index`.
     pub fn all_confirmed(&self, index: u64, now: Millis) -> bool {
         let known = self
             .leases
@@ -69,35 +72,35 @@
         known && now >= self.unknown_until
     }
 
-    /// Forgets gateways that have been silent for long.
+    /// Forgets gateways whose lease expired long ago.
     pub fn forget_silent(&mut self, now: Millis) {
         self.leases
-            .retain(|_, lease| now.since(lease.lease_end) < FORGET_AFTER);
+            .retain(|_, lease| now.since(lease.lease_end) < EXPIRED_LEASE_RETENTION);
     }
 
-    /// Whether a gateway was heard not too long ago.
+    /// Returns whether the gateway holds or recently held a lease.
     pub(crate) fn is_known(&self, gateway: &GatewayId) -> bool {
         self.leases.contains_key(gateway)
     }
 
-    /// Gateways that hold a lease. All are looked at only when one of them may have
-    /// ended: each answer to a gateway tells this number, and a look at all for each
-    /// would cost the square of the gateways.
+    /// Number of gateways that hold a lease. All leases are examined only when one of them
+    /// may have expired: each answer to a gateway contains this number, and examining all
+    /// leases for each would cost the square of the number of gateways.
     pub fn count(&mut self, now: Millis) -> u64 {
-        if now >= self.held_until {
-            let held = self.leases.values().map(|lease| lease.lease_end);
-            let held = held.filter(|end| *end > now);
-            let (count, first) = held.fold((0, Millis::NEVER), |(count, first), end| {
+        if now >= self.next_expiry {
+            let valid = self.leases.values().map(|lease| lease.lease_end);
+            let valid = valid.filter(|end| *end > now);
+            let (count, first) = valid.fold((0, Millis::NEVER), |(count, first), end| {
                 (count + 1, first.min(end))
             });
             self.leases_examined += self.leases.len() as u64;
-            self.held = count;
-            self.held_until = first;
+            self.valid_count = count;
+            self.next_expiry = first;
         }
-        self.held
+        self.valid_count
     }
 
-    /// Leases that counting has looked at so far.
+    /// Number of leases that counting has examined so far.
     pub fn leases_examined(&self) -> u64 {
         self.leases_examined
     }
--- a/components/control/src/group_step.rs
+++ b/components/control/src/group_step.rs
@@ -1,61 +1,61 @@
-//! How the leader mends the group: replicas that ask to join get in, ones whose
-//! disk is gone and ones that were replaced get out, one step at a time. A pure
-//! decision over what the leader sees of the members.
+//! How the leader repairs the group: it admits replicas that ask to join and removes
+//! members that lost their disk or were replaced, one step at a time. The decision is a
+//! pure function of what the leader knows about the members.
 //!
-//! Invariant: a voter that is merely silent leaves only when a caught-up
-//! replica stands ready for its place. It may be cut off with its disk whole,
-//! and a smaller group would commit on fewer disks than the settings promise.
-//! A voter whose address belongs to another identity now has lost its disk: it
-//! can never answer again, so it leaves at once.
+//! Invariant: a voter that is merely silent is removed only when a caught-up replica can
+//! take its place. It may be partitioned with its disk intact, and a smaller group would
+//! commit on fewer disks than the settings promise. A voter whose address now belongs to
+//! another identity has lost its disk: it can never answer again, so it is removed at
+//! once.
 
 use garnet_types::{Millis, ReplicaId};
 
 use crate::messages::JoinRequest;
 
-/// A voter that was silent for so long may be replaced.
-const REPLACE_AFTER: Millis = Millis(2500);
-/// A learner that was silent for so long is forgotten.
-const FORGET_LEARNER_AFTER: Millis = Millis::from_secs(30);
-/// A learner must have answered within this time to get a vote.
-const LEARNER_FRESH: Millis = Millis(500);
+/// A voter that is silent for this long may be replaced.
+const VOTER_TIMEOUT: Millis = Millis(2500);
+/// A learner that is silent for this long is removed.
+const LEARNER_TIMEOUT: Millis = Millis::from_secs(30);
+/// A learner must have answered within this time to be promoted.
+const MAX_PROMOTION_SILENCE: Millis = Millis(500);
 
-/// How the leader keeps the group whole.
+/// Settings of the group's repair.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct GroupSettings {
-    /// Voters that the group shall have: twice the disks that may be lost at
-    /// once, and one.
+    /// Wanted number of voters: twice the number of disks that may be lost at once, plus
+    /// one.
     pub voters: usize,
 }
 
-/// One member as the leader sees it.
+/// State of one member as known to the leader.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct MemberStatus {
-    /// Its identity.
+    /// Identity of the replica.
     pub id: ReplicaId,
-    /// Where peers reach it.
+    /// Address for peers.
     pub peer_address: String,
     /// Whether it votes.
     pub voter: bool,
     /// Whether it is this leader.
     pub is_leader: bool,
-    /// Time since it was heard.
+    /// Time since its last message.
     pub silent_for: Millis,
-    /// Whether it holds nearly all of the log.
+    /// Whether it has nearly all of the log.
     pub caught_up: bool,
 }
 
-/// The next step towards a whole group.
+/// A change of the group's members.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum GroupStep {
-    /// A replica that asked gets the log.
+    /// Adds a replica that asked to join as a learner.
     Admit(JoinRequest),
-    /// A caught-up learner gets a vote.
+    /// Gives a caught-up learner a vote.
     Promote(ReplicaId),
-    /// A member leaves.
+    /// Removes a member.
     Remove(ReplicaId),
 }
 
-/// Decides the next step.
+/// Decides the next step of the repair, if there is any.
 pub fn next_step(
     members: &[MemberStatus],
     candidates: &[JoinRequest],
@@ -74,23 +74,23 @@
     if let Some(candidate) = candidates.iter().find(|c| !is_member(c.id)) {
         return Some(GroupStep::Admit(candidate.clone()));
     }
-    let ready = members
-        .iter()
-        .find(|member| !member.voter && member.caught_up && member.silent_for < LEARNER_FRESH);
+    let ready = members.iter().find(|member| {
+        !member.voter && member.caught_up && member.silent_for < MAX_PROMOTION_SILENCE
+    });
     if let Some(learner) = ready {
         let voters = members.iter().filter(|member| member.voter);
         if voters.clone().count() < settings.voters {
             return Some(GroupStep::Promote(learner.id));
         }
         let silent = voters
-            .filter(|voter| !voter.is_leader && voter.silent_for >= REPLACE_AFTER)
+            .filter(|voter| !voter.is_leader && voter.silent_for >= VOTER_TIMEOUT)
             .max_by_key(|voter| voter.silent_for);
         if let Some(voter) = silent {
             return Some(GroupStep::Remove(voter.id));
         }
     }
     let forgotten = |member: &&MemberStatus| {
-        !member.voter && !member.is_leader && member.silent_for >= FORGET_LEARNER_AFTER
+        !member.voter && !member.is_leader && member.silent_for >= LEARNER_TIMEOUT
     };
     let learner = members.iter().find(forgotten)?;
     Some(GroupStep::Remove(learner.id))
--- a/components/control/src/lib.rs
+++ b/components/control/src/lib.rs
@@ -1,10 +1,10 @@
-//! The control group: what it keeps, and what its leader does with it.
+//! The control group: its replicated state and the work of its leader.
 //!
-//! Contract: [`ControlState::apply`] is deterministic: the same log gives the
-//! same state, also through a snapshot at any index. [`Replica`] puts the
-//! consensus node, the state and the leader's duties (configuration leases,
-//! engine orders, planning) together; it takes an [`Event`] with the time and
-//! gives [`Effect`]s, with no socket, file or clock inside.
+//! Contract: [`ControlState::apply`] is deterministic: the same log gives the same state,
+//! also through a snapshot at any index. [`Replica`] combines the consensus node, the
+//! state and the leader's work (configuration leases, engine orders, planning). It handles
+//! an [`Event`] at a given time and returns [`Effect`]s; it uses no socket, file or clock
+//! itself.
 
 mod answer;
 mod balancing;
--- a/components/control/src/load_digest.rs
+++ b/components/control/src/load_digest.rs
@@ -1,13 +1,14 @@
-//! Load and health of all back ends, as the leader tells it to every gateway.
+//! Digest of the load and health of all back ends, which the leader sends to every
+//! gateway.
 //!
-//! Contract: a digest is made and encoded once, and the same bytes go to all
-//! gateways; each takes its own part off, see [`LoadDigest::counted`]. Back ends
-//! are told by their place in the configuration, not by name: a digest can be
-//! read only by who knows the same back ends, and is left aside by others.
+//! Contract: a digest is computed and encoded once, and the same bytes go to all
+//! gateways; each subtracts its own load, see [`GatewayDigest::counted`]. Back ends are
+//! identified by their position in the configuration, not by name. A gateway ignores a
+//! digest that was made for another list of back ends.
 //!
-//! Only back ends that have work or are failing are told: a digest grows with the
-//! work under way, not with the fleet. An entry takes 5 to 14 bytes: tokens are told in
-//! steps of [`TOKENS_PER_UNIT`].
+//! A digest holds only back ends that have work or are failing, so it grows with the
+//! work in flight and not with the fleet. An entry takes 5 to 14 bytes; tokens are
+//! encoded in units of [`TOKENS_PER_UNIT`].
 
 use std::fmt;
 use std::num::ParseIntError;
@@ -25,20 +26,20 @@
 
 pub(crate) use v11::V11Digest;
 
-/// Tokens are told in steps of so many, which an engine prefills in less time than
-/// a digest is old. They are rounded down: a gateway takes its own work off, and
-/// what is left must not be taken for work of others.
+/// Tokens are encoded in units of this size. An engine prefills a unit in less time than
+/// a digest is old. Counts are rounded down: a gateway subtracts its own work, and the
+/// rest must not count as work of its peers.
 const TOKENS_PER_UNIT: u64 = 64;
-/// Set in [`Entry::marks`] where the back end is failing. The lower bits tell
-/// the ranks of [`Entry::uncached_units`].
+/// Set in [`Entry::marks`] if the back end is failing. The lower bits give the
+/// engine priorities of [`Entry::uncached_units`].
 const FAILING: u16 = 1 << 15;
 
-/// Names a set of back ends in its order.
+/// Identifies an ordered list of back ends.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MembersHash(u64);
 
 impl MembersHash {
-    /// The hash of these back ends.
+    /// Hashes the ids of the back ends in order.
     pub fn of<'a>(ids: impl Iterator<Item = &'a BackendId>) -> Self {
         let mut hash = Xxh3::new();
         for id in ids {
@@ -63,14 +64,14 @@
     }
 }
 
-/// What is under way at one back end, and whether it is sound.
+/// Load of one back end, and whether it is failing.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct BackendState {
-    /// Requests under way.
+    /// Requests in flight.
     pub requests: u64,
-    /// Prompt tokens that it has yet to prefill.
+    /// Prompt tokens that are not prefilled yet.
     pub uncached: PriorityCounts,
-    /// Tokens of KV cache that these requests hold, or will hold.
+    /// KV cache tokens that these requests hold or will hold.
     pub held_tokens: u64,
     /// Whether requests of several gateways failed there.
     pub is_failing: bool,
@@ -78,7 +79,7 @@
 
 #[derive(Serialize, Deserialize)]
 struct Entry {
-    /// Back ends left out since the entry before.
+    /// Number of back ends left out since the previous entry.
     skipped: u32,
     marks: u16,
     requests: u64,
@@ -90,10 +91,10 @@
     fn new(skipped: u32, state: &BackendState) -> Self {
         let mut marks = if state.is_failing { FAILING } else { 0 };
         let mut uncached_units = Vec::new();
-        for (rank, tokens) in state.uncached.iter() {
+        for (priority, tokens) in state.uncached.iter() {
             let units = tokens / TOKENS_PER_UNIT;
             if units > 0 {
-                marks |= 1 << rank;
+                marks |= 1 << priority;
                 uncached_units.push(units);
             }
         }
@@ -110,9 +111,10 @@
 impl From<Entry> for BackendState {
     fn from(entry: Entry) -> Self {
         let mut uncached = PriorityCounts::default();
-        let ranks = PriorityCounts::priorities().filter(|rank| entry.marks & (1 << rank) != 0);
-        for (rank, units) in ranks.zip(entry.uncached_units) {
-            uncached.add(rank, units * TOKENS_PER_UNIT);
+        let priorities =
+            PriorityCounts::priorities().filter(|priority| entry.marks & (1 << priority) != 0);
+        for (priority, units) in priorities.zip(entry.uncached_units) {
+            uncached.add(priority, units * TOKENS_PER_UNIT);
         }
         BackendState {
             requests: entry.requests,
@@ -123,21 +125,22 @@
     }
 }
 
-/// A back end that is told of.
+/// State of a back end in a digest.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PositionedState {
-    /// Its place among the back ends.
+    /// Position among the back ends.
     pub position: usize,
-    /// What is under way there.
+    /// Load and health of the back end.
     pub state: BackendState,
 }
 
-/// One digest, encoded.
+/// An encoded digest.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadDigest {
     members: MembersHash,
     entries: Arc<ByteBuf>,
-    /// Idle back ends after the last entry; known where the digest was made.
+    /// Number of idle back ends after the last entry. It is not sent: only the process
+    /// that made the digest knows it.
     #[serde(skip)]
     idle_at_end: u32,
 }
@@ -158,24 +161,24 @@
         let bytes = bincode::serde::encode_to_vec(&entries, bincode::config::standard());
         LoadDigest {
             members,
-            // Plain numbers can always be encoded.
+            // Encoding integers can't fail.
             entries: Arc::new(ByteBuf::from(bytes.unwrap_or_default())),
             idle_at_end: skipped,
         }
     }
 
-    /// Length of the encoded entries.
+    /// Length of the encoded entries, in bytes.
     pub fn len_bytes(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether this is a digest of these back ends.
+    /// Returns whether the digest was made for this list of back ends.
     pub(crate) fn is_of(&self, members: MembersHash) -> bool {
         self.members == members
     }
 
-    /// The back ends that have work or are failing, in their order; `None` where the
-    /// digest is of others, or can't be read.
+    /// The back ends that have work or are failing, in order; `None` if the digest was
+    /// made for another list of back ends or can't be decoded.
     pub fn states(&self, members: MembersHash) -> Option<Vec<PositionedState>> {
         if !self.is_of(members) {
             return None;
@@ -184,22 +187,22 @@
             bincode::serde::decode_from_slice(&self.entries, bincode::config::standard());
         let (entries, _) = decoded.ok()?;
         let mut next = 0;
-        let placed = |entry: Entry| {
+        let positioned = |entry: Entry| {
             let position = next + entry.skipped as usize;
             next = position + 1;
             let state = BackendState::from(entry);
             PositionedState { position, state }
         };
-        Some(entries.into_iter().map(placed).collect())
+        Some(entries.into_iter().map(positioned).collect())
     }
 }
 
-/// A digest for one gateway.
+/// A digest as sent to one gateway.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GatewayDigest {
-    /// The same for all.
+    /// The digest, which is the same for all gateways.
     pub digest: LoadDigest,
-    /// When the gateway sent the report that is counted in it, by its own
-    /// clock; `None` where none is.
+    /// When the gateway sent the report that the digest includes, by the gateway's
+    /// clock; `None` if it includes no report of this gateway.
     pub counted: Option<Millis>,
 }
--- a/components/control/src/load_digest/v11.rs
+++ b/components/control/src/load_digest/v11.rs
@@ -1,4 +1,5 @@
-//! The digest in encoding version 11: an entry for each back end, idle ones included.
+//! The digest in encoding version 11, which has an entry for every back end, also for
+//! idle ones.
 
 use garnet_types::Millis;
 use serde::{Deserialize, Serialize};
@@ -38,7 +39,7 @@
     }
 }
 
-/// One digest for a gateway.
+/// A digest as sent to one gateway.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub(crate) struct V11Digest {
     members: MembersHash,
@@ -47,20 +48,20 @@
 }
 
 impl V11Digest {
-    /// The digest; `None` where the entries can't be read.
-    pub(crate) fn of(told: &GatewayDigest) -> Option<Self> {
-        let entries: Vec<Entry> = decoded(&told.digest.entries).ok()?;
+    /// Converts the digest; `None` if its entries can't be decoded.
+    pub(crate) fn of(sent: &GatewayDigest) -> Option<Self> {
+        let entries: Vec<Entry> = decoded(&sent.digest.entries).ok()?;
         let idle = |count: u32| std::iter::repeat_n(DenseEntry::default(), count as usize);
         let mut dense = Vec::new();
         for entry in entries {
             dense.extend(idle(entry.skipped));
             dense.push(DenseEntry::from(entry));
         }
-        dense.extend(idle(told.digest.idle_at_end));
+        dense.extend(idle(sent.digest.idle_at_end));
         Some(V11Digest {
-            members: told.digest.members,
+            members: sent.digest.members,
             entries: ByteBuf::from(encoded(&dense)),
-            counted: told.counted,
+            counted: sent.counted,
         })
     }
 }
--- a/components/control/src/messages.rs
+++ b/components/control/src/messages.rs
@@ -1,4 +1,4 @@
-//! What gateways and the leader say to each other.
+//! Messages between gateways and the leader.
 
 use garnet_limits::{LimitEntry, LimitList, LimitReports, PermitAnswer, PermitAsk};
 use garnet_quarantine::{RunReport, Suspects};
@@ -16,7 +16,7 @@
 use crate::shared::Shared;
 use crate::usage::{UsageReceipt, UsageReport};
 
-/// What a gateway saw offered for one pool since its last report.
+/// Load that a gateway received for one pool since its last report.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct PoolMix {
     /// Service of the pool.
@@ -25,41 +25,41 @@
     pub model: ModelId,
     /// Requests.
     pub requests: u64,
-    /// Of these, requests whose prompt takes an engine longer than their text.
+    /// Those of the requests that spend more engine time on prefill than on decode.
     pub prompt_bound: u64,
     /// Prompt tokens.
     pub prompt_tokens: u64,
-    /// Tokens wanted.
+    /// Requested output tokens.
     pub output_tokens: u64,
 }
 
-/// Work of one gateway, or of several, that a back end has yet to do.
+/// Unfinished work that one or several gateways have at a back end.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Backlog {
     /// The back end.
     pub backend: BackendId,
-    /// Requests under way.
+    /// Requests in flight.
     pub requests: u64,
-    /// Prompt tokens that it has yet to prefill.
+    /// Prompt tokens that are not prefilled yet.
     pub uncached: PriorityCounts,
-    /// Tokens of KV cache that these requests hold, or will hold.
+    /// KV cache tokens that these requests hold or will hold.
     pub held_tokens: u64,
 }
 
-/// How requests of one gateway ended at a back end since it told last.
+/// How requests of one gateway ended at a back end since its last report.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Evidence {
     /// The back end.
     pub backend: BackendId,
     /// Requests that it answered.
     pub answered: u32,
-    /// Requests that it failed, broke off or was silent on.
+    /// Requests that failed, were cut off, or got no answer.
     pub failed: u32,
-    /// Requests that could not be sent: nothing listens there.
+    /// Requests that could not be sent because nothing listens at the address.
     pub unreachable: u32,
 }
 
-/// An engine holds a prompt's prefix.
+/// A prompt prefix that an engine holds in its KV cache.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PromptCopy {
     /// The prefix.
@@ -68,32 +68,32 @@
     pub backend: BackendId,
 }
 
-/// A copy whose engine is told by its place in the configuration.
+/// A prefix copy whose engine is given by its position in the configuration.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PositionedCopy {
     /// The prefix.
     pub prefix: PrefixId,
-    /// Place of the engine.
+    /// Position of the engine among the back ends.
     pub place: u16,
 }
 
-/// Copies that other gateways told of.
+/// Prefix copies that other gateways reported.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CopyUpdates {
-    /// The back ends whose places are named.
+    /// Identifies the list of back ends that the positions refer to.
     pub members: MembersHash,
-    /// The copies, the oldest first.
+    /// The copies, oldest first.
     pub copies: Vec<PositionedCopy>,
 }
 
-/// A claim, its release or its result.
+/// A request about a claim on an idempotency key.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ClaimRequest {
-    /// Ask for the key.
+    /// Claims the key.
     Claim(ClaimCommand),
-    /// Give it back.
+    /// Releases the claim.
     Release(ClaimCommand),
-    /// Keep the answer.
+    /// Records the answer of the claimed request.
     Record {
         /// The claim.
         claim: ClaimCommand,
@@ -112,60 +112,59 @@
     }
 }
 
-/// From a gateway to a control replica.
+/// A message from a gateway to a control replica.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum GatewayRequest {
-    /// Heartbeat: asks for changes and for a lease on the configuration.
+    /// Heartbeat that asks for changes and for a lease on the configuration.
     Watch {
-        /// Who asks.
+        /// The gateway that asks.
         gateway: GatewayId,
-        /// Configuration index that the gateway works by.
+        /// Index of the configuration that is in force at the gateway.
         configuration_index: u64,
-        /// Gateway's clock when it asked.
+        /// The gateway's clock when it sent the message.
         sent_at: Millis,
-        /// Index of the group's membership that it knows.
+        /// Index of the newest group membership that it has received.
         group_index: u64,
-        /// What it saw offered.
+        /// Load that it received, by pool.
         mix: Vec<PoolMix>,
-        /// What it has under way, for the other gateways to know.
+        /// Its work in flight, which the leader passes on to its peers.
         backlogs: Vec<Backlog>,
-        /// How its requests ended, for the other gateways to know.
+        /// How its requests ended, which the leader passes on to its peers.
         evidence: Vec<Evidence>,
-        /// Copies that it learned of since it told last.
+        /// Prefix copies that it learned of since its last report.
         copies: Vec<PromptCopy>,
     },
-    /// About a claim.
+    /// A request about a claim.
     Claim(ClaimRequest),
-    /// Requests that began to run, by tenant.
+    /// Counts of requests that began to run, by tenant.
     Usage(UsageReport),
-    /// Runs that ended with their engine, and what became of such requests.
+    /// Runs during which the engine ended, and the outcome of such requests.
     Runs(RunReport),
-    /// Asks for a part of the whole configuration.
+    /// Asks for a part of the full configuration.
     Part(PartRequest),
-    /// Limits that answers of back ends named.
+    /// Rate limits that back ends stated in their answers.
     LimitReports {
         /// The gateway that got the answers.
         gateway: GatewayId,
         /// The reports.
         reports: LimitReports,
     },
-    /// Asks for a permit to send a request to a back end that has a limit.
+    /// Asks for a permit to send a request to a rate-limited back end.
     Permit(PermitAsk),
 }
 
-/// A replica asks to be a member of the group. It repeats this until a leader
-/// sends it the log.
+/// A replica's request to join the group, repeated until a leader sends it the log.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JoinRequest {
-    /// Its identity, bound to its disk.
+    /// Identity of the replica, bound to its disk.
     pub id: ReplicaId,
-    /// Where peers and gateways reach it.
+    /// Address for peers and gateways.
     pub peer_address: String,
-    /// Where operators reach it.
+    /// Address for operators.
     pub admin_address: String,
 }
 
-/// Who the control group is, for gateways that must find it again.
+/// Members of the control group, for gateways that have to reconnect.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GroupView {
     /// Log index of the membership.
@@ -174,60 +173,60 @@
     pub addresses: Vec<String>,
 }
 
-/// Changes for a gateway.
+/// Update of a gateway's configuration.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum WatchUpdate {
-    /// It is up to date.
+    /// The gateway is up to date.
     Current,
-    /// Changes since the index that it named.
+    /// Changes since the index that the gateway sent.
     Changes {
-        /// Index that they build on.
+        /// Index that the changes apply to.
         from: u64,
-        /// Index that they lead to.
+        /// Index after the changes.
         to: u64,
         /// The changes, each with its index.
         changes: Shared<Vec<(u64, ConfigurationChange)>>,
     },
-    /// Everything anew.
+    /// The full configuration.
     Snapshot(Shared<Configuration>),
-    /// Everything anew, too large for one message: its parts are to be asked for.
+    /// The full configuration is too large for one message; the gateway asks for its parts.
     Parts {
         /// Index of the configuration.
         index: u64,
     },
-    /// All that is new was sent on this connection already and is yet to arrive.
+    /// All changes were already sent on this connection and have not arrived yet.
     UnderWay,
 }
 
 impl WatchUpdate {
-    /// About how many changes it brings.
+    /// Approximate number of changes in the update.
     pub fn changes(&self) -> u64 {
         let changes = match self {
             WatchUpdate::Current | WatchUpdate::UnderWay | WatchUpdate::Parts { .. } => 0,
             WatchUpdate::Changes { changes, .. } => changes.len(),
-            WatchUpdate::Snapshot(whole) => {
-                whole.sessions.len() + whole.policies.len() + whole.backends.len()
+            WatchUpdate::Snapshot(full) => {
+                full.sessions.len() + full.policies.len() + full.backends.len()
             }
         };
         changes as u64
     }
 }
 
-/// The limits of all back ends that have one, as the leader knows them.
+/// Rate limits of all limited back ends, as known to the leader.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LimitUpdate {
     /// Term of the leader.
     pub term: u64,
-    /// Rises with each change of the list in the term.
+    /// Increases with each change of the list within the term.
     pub number: u64,
-    /// Number of the last [`LimitReports`] of the gateway that is applied.
+    /// Number of the gateway's last [`LimitReports`] that was applied.
     pub reports_taken: u64,
     /// The limits.
     pub limits: Shared<Vec<LimitEntry>>,
 }
 
 impl LimitUpdate {
-    /// The list as gateways take it.
+    /// The list in the form that gateways apply.
     pub fn list(&self) -> LimitList<'_> {
         LimitList {
             term: self.term,
@@ -238,55 +237,54 @@
     }
 }
 
-/// From a control replica to a gateway.
+/// A message from a control replica to a gateway.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ControlReply {
-    /// Answer to a watch: the configuration is in force, and the lease runs
-    /// from `sent_at`.
+    /// Answer to a watch: the configuration is in force, and the lease starts
+    /// at `sent_at`.
     Watch {
-        /// Copied from the question.
+        /// Copied from the request.
         sent_at: Millis,
-        /// What changed.
+        /// Changes of the configuration.
         update: WatchUpdate,
-        /// The group, when it is not the one that the gateway knows.
+        /// The group, if the gateway does not have the newest one.
         group: Option<GroupView>,
-        /// Gateways that hold a lease: budgets are shared among them.
+        /// Number of gateways that hold a lease; they share the budgets.
         gateways: u64,
-        /// Load and health of all back ends; `None` leaves what was told before.
+        /// Load and health of all back ends; `None` leaves the previous digest in force.
         digest: Option<GatewayDigest>,
-        /// Copies that other gateways told of since this one heard last.
+        /// Copies that other gateways reported since the last answer to this one.
         copies: CopyUpdates,
-        /// Requests under which engines ended; `None` leaves what was told before.
+        /// Requests suspected of crashing engines; `None` leaves the previous list in force.
         suspects: Option<Suspects>,
     },
-    /// Answer about a claim.
+    /// Answer to a request about a claim.
     Claim {
         /// The claim.
         claim: ClaimCommand,
         /// The answer.
         answer: ClaimAnswer,
     },
-    /// Answer to a report of usage.
+    /// Answer to a usage report.
     Usage(UsageReceipt),
-    /// The leader has taken the runs up to this number.
+    /// The leader has recorded the runs up to this number.
     RunsNoted {
-        /// Number of the newest one.
+        /// Number of the newest recorded run.
         through: u64,
     },
-    /// A part of the whole configuration; `None` where it is not to be had any
-    /// more.
+    /// A part of the full configuration, or `None` if it is no longer available.
     Part(Option<ConfigurationPart>),
-    /// The limits of back ends; follows the answer to a watch if the gateway may not have
-    /// the newest list.
+    /// The rate limits of back ends; follows the answer to a watch if the gateway may
+    /// not have the newest list.
     Limits(LimitUpdate),
-    /// Answer to a question for a permit.
+    /// Answer to a request for a permit.
     Permit(PermitAnswer),
-    /// Ask the leader; its address, as far as known.
+    /// This replica is not the leader; the gateway has to ask the leader.
     NotLeader {
-        /// Address of the leader for gateways.
+        /// Address of the leader for gateways, if known.
         leader: Option<String>,
-        /// For a gateway that knows nothing yet, while no leader is known: the
-        /// newest configuration that this replica surely knows of.
+        /// The newest configuration that this replica knows to be committed. Sent only
+        /// to a gateway without a configuration while no leader is known.
         last_known: Option<Shared<Configuration>>,
     },
 }
--- a/components/control/src/operator.rs
+++ b/components/control/src/operator.rs
@@ -1,4 +1,4 @@
-//! What operators ask of a replica and what they hear.
+//! Requests of operators to a replica, and the answers.
 
 use std::collections::BTreeMap;
 
@@ -14,68 +14,68 @@
 pub enum MemberChange {
     /// Adds a replica that receives the log.
     AddLearner {
-        /// Its identity, as its log line and status page give it.
+        /// Identity of the replica, found in its log and on its status page.
         id: ReplicaId,
-        /// Where peers and gateways reach it.
+        /// Address for peers and gateways.
         peer_address: String,
-        /// Where operators reach it.
+        /// Address for operators.
         admin_address: String,
     },
     /// Gives a caught-up learner a vote.
     Promote(ReplicaId),
-    /// Takes a replica out.
+    /// Removes a replica.
     Remove(ReplicaId),
-    /// Asks another replica to lead.
+    /// Transfers leadership to another replica.
     TransferLeadership,
 }
 
-/// A question of an operator.
+/// A request from an operator.
 #[derive(Debug, Clone, PartialEq)]
 pub enum OperatorRequest {
-    /// A command; with `wait` the answer comes when it is in force everywhere.
+    /// Applies a command.
     Command {
         /// The command.
         envelope: CommandEnvelope,
-        /// Whether to wait for the gateways.
+        /// Whether to answer only when the command is in force at all gateways.
         wait: bool,
     },
-    /// A change of the group.
+    /// Changes the members of the group.
     Member(MemberChange),
-    /// The configuration, as the leader under its lease knows it.
+    /// Reads the configuration from the leader, under its lease.
     Configuration,
-    /// The route table's document, as the leader under its lease knows it.
+    /// Reads the route table's document from the leader, under its lease.
     Routes,
-    /// State of the replica; any replica answers.
+    /// Reads the state of the replica; any replica answers.
     Status,
-    /// Raises the level to the version of this build; see `docs/OPERATIONS.md`.
+    /// Raises the encoding level to the version of this build; see `docs/OPERATIONS.md`.
     RaiseLevel,
 }
 
-/// One member as the replica sees it.
+/// State of one member as known to the replica.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberView {
-    /// Where peers and gateways reach it.
+    /// Address for peers and gateways.
     pub peer_address: String,
-    /// Where operators reach it.
+    /// Address for operators.
     pub admin_address: String,
     /// Whether it votes.
     pub voter: bool,
-    /// Highest index known to be durable there, as the leader knows it.
+    /// Highest log index known to be durable there; only the leader knows it.
     pub match_index: Option<u64>,
-    /// Milliseconds since it was last in touch, as the leader knows it.
+    /// Milliseconds since its last message; only the leader knows it.
     pub silent_for: Option<Millis>,
-    /// Encoding version that it spoke when it connected last.
+    /// Encoding version that it used when it connected last.
     pub version: Option<EncodingVersion>,
 }
 
-/// One gateway as the leader sees it.
+/// State of one gateway as known to the leader.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GatewayView {
     /// Configuration index that it has confirmed.
     pub confirmed_index: u64,
-    /// Milliseconds that its lease has left.
+    /// Milliseconds until its lease expires.
     pub lease_left: Millis,
-    /// Encoding version of its build, as far as its connection shows it.
+    /// Encoding version of its build, as far as the connection shows it.
     pub version: EncodingVersion,
 }
 
@@ -88,7 +88,7 @@
     pub role: String,
     /// Its term.
     pub term: u64,
-    /// The leader, as far as known.
+    /// The leader, if known.
     pub leader: Option<ReplicaId>,
     /// Whether it holds the leader's lease now.
     pub holds_lease: bool,
@@ -104,11 +104,12 @@
     pub version: EncodingVersion,
     /// Version in which the log is written, as far as the log shows it.
     pub level: Option<EncodingVersion>,
-    /// Why it applies no more of the log, if it does not.
+    /// Why the replica has stopped applying the log, if it has.
     pub halted: Option<String>,
-    /// Whether one more voter could be lost now; only the leader can say so.
+    /// Whether the group would survive the loss of one more voter now; only the leader
+    /// knows it.
     pub survives_one_loss: bool,
-    /// The group.
+    /// Members of the group.
     pub members: BTreeMap<ReplicaId, MemberView>,
     /// Gateways that hold or held a lease; only the leader knows them.
     pub gateways: BTreeMap<GatewayId, GatewayView>,
@@ -123,23 +124,23 @@
     Committed {
         /// The state machine's answer.
         answer: CommandAnswer,
-        /// Whether every gateway works by it, or has lost its lease.
+        /// Whether every gateway has applied the command or lost its lease.
         in_force: bool,
     },
     /// The configuration.
     Configuration(Box<Configuration>),
-    /// The document of the route table in force, `None` before the first one.
+    /// The document of the route table in force; `None` before the first one.
     Routes(Option<String>),
-    /// The replica's state.
+    /// State of the replica.
     Status(Box<StatusView>),
-    /// Ask the leader; its address for operators, as far as known.
+    /// This replica is not the leader; the leader's address for operators, if known.
     NotLeader(Option<String>),
     /// The change was refused before it was proposed; it has no effect.
     Refused(String),
-    /// The change has no effect now and may have later: a process of an earlier build
-    /// could not follow it.
+    /// The change can't be made yet, because a process of an earlier build could not
+    /// handle it; it may be possible later.
     NotYet(String),
-    /// The leader lost its office before the command was committed: it may yet
-    /// be. Send it again with the same command id.
+    /// The leader lost its leadership before the command was committed; the command may
+    /// still be committed. Send it again with the same command id.
     Unconfirmed,
 }
--- a/components/control/src/planner_settings.rs
+++ b/components/control/src/planner_settings.rs
@@ -4,10 +4,10 @@
 use garnet_settings::TableReader;
 use garnet_types::Millis;
 
-/// Longest interval that a setting may give: ten minutes.
+/// Longest interval that a setting accepts: ten minutes.
 const MAX_INTERVAL_MS: u64 = 600_000;
 
-/// Reads the table; `None` when the planner is switched off.
+/// Reads the table; `None` if the planner is disabled.
 pub fn planner_settings(table: &mut TableReader<'_>) -> Option<PlannerSettings> {
     let enabled = table.boolean("enabled").unwrap_or(true);
     let defaults = PlannerSettings::default();
--- a/components/control/src/planning.rs
+++ b/components/control/src/planning.rs
@@ -1,4 +1,4 @@
-//! The leader's use of the role planner: one planner for each pool.
+//! The leader's role planning, with one planner for each pool.
 
 use std::collections::BTreeMap;
 
@@ -9,25 +9,26 @@
 use crate::configuration::Configuration;
 use crate::messages::PoolMix;
 
-/// How often the planner looks at a pool.
+/// How often the planner examines a pool.
 const PLANNING_INTERVAL: Millis = Millis::from_secs(1);
 
-/// A pool: engines of one service that hold one model.
+/// A pool: the engines of one service that have one model.
 type Pool = (ServiceId, ModelId);
 
-/// Planners of all pools, and what gateways reported since the last look.
+/// Planners of all pools, and the load that gateways reported since the last planning.
 #[derive(Debug, Default)]
 pub(crate) struct Planning {
     settings: PlannerSettings,
     planners: BTreeMap<Pool, Planner>,
     offered: BTreeMap<Pool, Mix>,
     planned_at: Option<Millis>,
-    /// Price that the policies state, and the configuration it was read from.
+    /// Price of a role change as stated by the policies, and the index of the
+    /// configuration that it was read from.
     price: Option<f64>,
-    price_read_at: u64,
+    price_index: u64,
 }
 
-/// A change that a planner wants.
+/// A role change that a planner decided.
 pub(crate) struct PlannedChange {
     pub(crate) engine: BackendId,
     pub(crate) assignment: EngineAssignment,
@@ -41,7 +42,7 @@
         }
     }
 
-    /// Adds what a gateway saw.
+    /// Adds the load that a gateway reported.
     pub(crate) fn add(&mut self, mixes: &[PoolMix]) {
         for seen in mixes {
             let pool = (seen.service.clone(), seen.model.clone());
@@ -53,7 +54,7 @@
         }
     }
 
-    /// The changes to make now.
+    /// Decides the role changes to make now.
     pub(crate) fn decide(
         &mut self,
         configuration: &Configuration,
@@ -97,14 +98,14 @@
 
 impl Planning {
     fn read_price(&mut self, configuration: &Configuration) {
-        if self.price_read_at != configuration.index {
-            self.price_read_at = configuration.index;
+        if self.price_index != configuration.index {
+            self.price_index = configuration.index;
             self.price = role_change_price(configuration);
         }
     }
 }
 
-/// What the leader knows of an engine from its latest fresh status.
+/// Load and capacity of an engine from its latest status, if that is recent.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct EngineFacts {
     pub(crate) running: u64,
@@ -155,7 +156,7 @@
     }
 }
 
-/// The price that the policies state, if any does.
+/// The price of a role change, if a policy states one.
 fn role_change_price(configuration: &Configuration) -> Option<f64> {
     let mut set = PolicySet::default();
     for (name, record) in &configuration.policies {
--- a/components/control/src/priority_counts.rs
+++ b/components/control/src/priority_counts.rs
@@ -1,72 +1,72 @@
-//! A number for each rank of requests: tokens to be prefilled, or requests.
+//! Counts of requests or of tokens by engine priority.
 
 use std::ops::AddAssign;
 
 use serde::{Deserialize, Serialize};
 
-/// The least urgent rank that engines tell apart; 0 is the most urgent.
+/// The lowest (least urgent) priority that engines distinguish; 0 is the highest.
 pub const LOWEST_PRIORITY: u8 = 9;
-/// Ranks that engines tell apart.
-const RANKS: usize = LOWEST_PRIORITY as usize + 1;
+/// Number of priorities that engines distinguish.
+const PRIORITY_COUNT: usize = LOWEST_PRIORITY as usize + 1;
 
-/// Numbers by rank. Engines take the more urgent first, so a request waits for
-/// those of its own rank and of the ranks before.
+/// Counts by engine priority. Engines schedule higher priorities first, so a request
+/// waits for requests of its own priority and of higher ones.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PriorityCounts([u64; RANKS]);
+pub struct PriorityCounts([u64; PRIORITY_COUNT]);
 
 impl PriorityCounts {
-    /// A number at one rank.
-    pub fn at(rank: u8, number: u64) -> Self {
-        let mut ranked = PriorityCounts::default();
-        ranked.add(rank, number);
-        ranked
+    /// A count at one priority and zero at all others.
+    pub fn at(priority: u8, count: u64) -> Self {
+        let mut counts = PriorityCounts::default();
+        counts.add(priority, count);
+        counts
     }
 
-    /// Adds at a rank.
-    pub fn add(&mut self, rank: u8, number: u64) {
-        self.0[index(rank)] += number;
+    /// Adds to the count at a priority.
+    pub fn add(&mut self, priority: u8, count: u64) {
+        self.0[index(priority)] += count;
     }
 
-    /// Takes away at a rank.
-    pub fn remove(&mut self, rank: u8, number: u64) {
-        let ranked = &mut self.0[index(rank)];
-        *ranked = ranked.saturating_sub(number);
+    /// Subtracts from the count at a priority, down to zero.
+    pub fn remove(&mut self, priority: u8, count: u64) {
+        let held = &mut self.0[index(priority)];
+        *held = held.saturating_sub(count);
     }
 
-    /// All ranks, the most urgent first.
+    /// All priorities, the highest first.
     pub fn priorities() -> impl Iterator<Item = u8> {
         0..=LOWEST_PRIORITY
     }
 
-    /// Each rank with its number.
+    /// Each priority with its count.
     pub fn iter(&self) -> impl Iterator<Item = (u8, u64)> {
         Self::priorities().zip(self.0)
     }
 
-    /// The number at a rank.
-    pub fn count_at(&self, rank: u8) -> u64 {
-        self.0[index(rank)]
+    /// The count at a priority.
+    pub fn count_at(&self, priority: u8) -> u64 {
+        self.0[index(priority)]
     }
 
-    /// The sum over all ranks.
+    /// The sum over all priorities.
     pub fn total(&self) -> u64 {
         self.0.iter().sum()
     }
 
-    /// The sum over the ranks that come before a new request of this rank.
-    pub fn ahead_of(&self, rank: u8) -> u64 {
-        self.0[..=index(rank)].iter().sum()
+    /// The sum over the priorities that are served before a new request of this priority.
+    pub fn ahead_of(&self, priority: u8) -> u64 {
+        self.0[..=index(priority)].iter().sum()
     }
 }
 
 impl AddAssign for PriorityCounts {
     fn add_assign(&mut self, other: Self) {
-        for (sum, number) in self.0.iter_mut().zip(other.0) {
-            *sum += number;
+        for (sum, count) in self.0.iter_mut().zip(other.0) {
+            *sum += count;
         }
     }
 }
 
-fn index(rank: u8) -> usize {
-    usize::from(rank.min(LOWEST_PRIORITY))
+fn index(priority: u8) -> usize {
+    usize::from(priority.min(LOWEST_PRIORITY))
 }
--- a/components/control/src/reconciler.rs
+++ b/components/control/src/reconciler.rs
@@ -1,11 +1,11 @@
-//! From desired to observed: drains an engine, orders it, settles the order.
+//! Brings engines to their desired assignment: drains an engine, sends it an order and
+//! settles the order.
 //!
-//! Runs on the leader only. The replicated record says which order is
-//! outstanding; what is kept here can be lost at any time. Sequence for one
-//! engine: `BeginOrder` takes it out of routing; every gateway confirms; the
-//! engine reports that nothing runs; the order is sent, again and again, until
-//! the engine reports the new assignment under the order's fence;
-//! `SettleOrder` puts it back into routing.
+//! The reconciler runs on the leader only. The replicated record holds the outstanding
+//! order; the state kept here may be lost at any time. Sequence for one engine:
+//! `BeginOrder` takes it out of routing; every gateway confirms; the engine reports that
+//! nothing runs; the order is sent repeatedly until the engine reports the new assignment
+//! under the order's fence; `SettleOrder` puts it back into routing.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -17,59 +17,60 @@
 use crate::gateways::GatewayLeases;
 use crate::pool_census::PoolCensus;
 
-/// When the leader asks engines for their state.
+/// When the leader polls engines for their status.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum EnginePolling {
-    /// Again and again.
+    /// At regular intervals.
     #[default]
     Always,
-    /// Only while an order is outstanding: the directory tells what they are.
+    /// Only while an order is outstanding; otherwise the platform's list of machines
+    /// reports the state of engines.
     WhileOrdered,
 }
 
-/// How often an engine is asked for its state.
+/// How often an engine is polled for its status.
 const POLL_INTERVAL: Millis = Millis(500);
-/// A state older than this is not acted upon.
-const STATUS_FRESH: Millis = Millis::from_secs(2);
+/// An older status is ignored.
+const STATUS_LIFETIME: Millis = Millis::from_secs(2);
 /// An unanswered order is sent again after this time.
-const ORDER_INTERVAL: Millis = Millis(1500);
+const ORDER_RETRY_INTERVAL: Millis = Millis(1500);
 
 #[derive(Debug, Default)]
 struct EngineTrack {
     status: Option<(EngineStatus, Millis)>,
     asked_at: Option<Millis>,
     ordered_at: Option<Millis>,
-    /// When every gateway had confirmed that the engine is out of routing.
+    /// When all gateways had confirmed that the engine is out of routing.
     confirmed_at: Option<Millis>,
-    /// Log index of a command about this engine that is not applied yet.
-    awaiting_index: u64,
+    /// Log index of the last command proposed for this engine.
+    pending_index: u64,
 }
 
-/// What the reconciler wants for one engine.
+/// A step of the reconciler for one engine.
 #[derive(Debug, PartialEq)]
 pub(crate) enum Step {
-    /// Ask the engine.
+    /// Send a request to the engine.
     Ask(EngineRequest),
-    /// Put a command into the log.
+    /// Propose a command for the log.
     Propose(Command),
 }
 
-/// The present for one look at an engine.
+/// The state that the steps for an engine are decided by.
 pub(crate) struct StepContext<'a> {
     pub(crate) configuration: &'a Configuration,
     pub(crate) census: &'a PoolCensus<'a>,
     pub(crate) gateways: &'a GatewayLeases,
-    /// Whether the pool of an engine is known to have no work.
+    /// Returns whether the pool of an engine is known to have no work.
     pub(crate) idle: &'a dyn Fn(&BackendId) -> bool,
     pub(crate) term: u64,
     pub(crate) applied_index: u64,
-    /// Whether engines without an order are asked for their state, so that
-    /// silence means something.
+    /// Whether engines without an order are polled, so that a missing status means that the
+    /// engine does not answer.
     pub(crate) polls: bool,
     pub(crate) now: Millis,
 }
 
-/// What the leader remembers of the engines.
+/// State of the reconciler on the leader.
 #[derive(Debug)]
 pub(crate) struct Reconciler {
     polling: EnginePolling,
@@ -79,7 +80,7 @@
 }
 
 impl Reconciler {
-    /// Nothing was heard of any of these back ends.
+    /// A reconciler for these back ends, without a status of any of them.
     pub(crate) fn new<'a>(
         polling: EnginePolling,
         backends: impl Iterator<Item = &'a BackendRecord>,
@@ -93,64 +94,61 @@
         reconciler
     }
 
-    /// Notes the state that an engine told.
+    /// Records the status that an engine reported.
     pub(crate) fn observe(&mut self, engine: &BackendId, status: EngineStatus, now: Millis) {
         let track = self.tracks.entry(engine.clone()).or_default();
         track.status = Some((status, now));
     }
 
-    /// The latest state of an engine, if it is fresh.
+    /// The latest status of an engine, if it is recent.
     pub(crate) fn fresh_status(&self, engine: &BackendId, now: Millis) -> Option<&EngineStatus> {
         let (status, at) = self.tracks.get(engine)?.status.as_ref()?;
-        (now.since(*at) <= STATUS_FRESH).then_some(status)
+        (now.since(*at) <= STATUS_LIFETIME).then_some(status)
     }
 
-    /// Forgets what an engine told of itself: it has started again since.
+    /// Forgets the status of an engine that has restarted.
     pub(crate) fn on_restart(&mut self, engine: &BackendId) {
         if let Some(track) = self.tracks.get_mut(engine) {
             track.status = None;
         }
     }
 
-    /// Notes that a command about the engine was proposed.
+    /// Records that a command about the engine was proposed.
     pub(crate) fn on_proposed(&mut self, engine: &BackendId, index: u64) {
-        self.tracks
-            .entry(engine.clone())
-            .or_default()
-            .awaiting_index = index;
+        self.tracks.entry(engine.clone()).or_default().pending_index = index;
     }
 
-    /// Whether a command about the engine is under way.
+    /// Returns whether a command about the engine is proposed and not applied yet.
     pub(crate) fn has_pending_command(&self, engine: &BackendId, applied_index: u64) -> bool {
         let track = self.tracks.get(engine);
-        track.is_some_and(|track| track.awaiting_index > applied_index)
+        track.is_some_and(|track| track.pending_index > applied_index)
     }
 
-    /// Follows what has become of a back end. Something may have to be done about
-    /// engines that are asked for their state, are out for an order, or are not what
-    /// they shall be.
+    /// Updates the set of engines to check from the new record of a back end. An engine has
+    /// to be checked if it is polled, has an outstanding order, or does not have its
+    /// desired assignment.
     pub(crate) fn update(&mut self, record: &BackendRecord) {
         let id = &record.registration.id;
         let is_engine = record.registration.kind == BackendKind::Engine;
-        let asks_all = self.polling == EnginePolling::Always;
-        if is_engine && (asks_all || record.order.is_some() || !is_as_desired(record)) {
+        let polls_all = self.polling == EnginePolling::Always;
+        if is_engine && (polls_all || record.order.is_some() || !is_as_desired(record)) {
             self.engines_to_check.insert(id.clone());
         } else {
             self.engines_to_check.remove(id);
         }
     }
 
-    /// Forgets a back end that is gone.
+    /// Removes a back end that is gone.
     pub(crate) fn forget(&mut self, id: &BackendId) {
         self.engines_to_check.remove(id);
     }
 
-    /// The engines that something may have to be done about. What is remembered of
-    /// all others is forgotten.
+    /// The engines that may need a step. The state of all other engines is dropped, except
+    /// while a command about them is pending.
     pub(crate) fn engines_to_check(&mut self, applied_index: u64) -> Vec<BackendId> {
         let engines_to_check = &self.engines_to_check;
         self.tracks.retain(|engine, track| {
-            track.awaiting_index > applied_index || engines_to_check.contains(engine)
+            track.pending_index > applied_index || engines_to_check.contains(engine)
         });
         engines_to_check.iter().cloned().collect()
     }
@@ -166,17 +164,17 @@
         }
         let mut steps = Vec::new();
         let track = self.tracks.entry(engine.clone()).or_default();
-        let asks = self.polling == EnginePolling::Always || record.order.is_some();
-        if asks && elapsed(track.asked_at, context.now) >= POLL_INTERVAL {
+        let polls = self.polling == EnginePolling::Always || record.order.is_some();
+        if polls && elapsed(track.asked_at, context.now) >= POLL_INTERVAL {
             track.asked_at = Some(context.now);
             steps.push(Step::Ask(EngineRequest::Status));
         }
-        if track.awaiting_index > context.applied_index {
+        if track.pending_index > context.applied_index {
             return steps;
         }
         let next = match &record.order {
-            Some(order) => track.pursue(engine, order, context),
-            None => track.compare(engine, record, context),
+            Some(order) => track.advance_order(engine, order, context),
+            None => track.compare_with_desired(engine, record, context),
         };
         steps.extend(next);
         steps
@@ -185,13 +183,13 @@
 
 impl EngineTrack {
     fn fresh(&self, now: Millis) -> Option<&(EngineStatus, Millis)> {
-        let fresh = |(_, at): &&(EngineStatus, Millis)| now.since(*at) <= STATUS_FRESH;
+        let fresh = |(_, at): &&(EngineStatus, Millis)| now.since(*at) <= STATUS_LIFETIME;
         self.status.as_ref().filter(fresh)
     }
 
-    /// Without an order: note what the engine is; begin an order if it is not
-    /// what it shall be.
-    fn compare(
+    /// The step for an engine without an order: records its observed state, or begins an
+    /// order if it does not have its desired assignment.
+    fn compare_with_desired(
         &mut self,
         engine: &BackendId,
         record: &BackendRecord,
@@ -227,8 +225,9 @@
         may_leave.then(|| Step::Propose(Command::BeginOrder(engine.clone())))
     }
 
-    /// With an order: put it under this leader's fence, drain, send, settle.
-    fn pursue(
+    /// The step for an engine with an order: renews the order under this leader's fence,
+    /// settles it if it is carried out, or sends it once the engine has drained.
+    fn advance_order(
         &mut self,
         engine: &BackendId,
         order: &OutstandingOrder,
@@ -253,7 +252,8 @@
                 },
             }));
         }
-        if !self.has_drained(order, context) || elapsed(self.ordered_at, now) < ORDER_INTERVAL {
+        if !self.has_drained(order, context) || elapsed(self.ordered_at, now) < ORDER_RETRY_INTERVAL
+        {
             return None;
         }
         self.ordered_at = Some(now);
@@ -263,8 +263,8 @@
         })))
     }
 
-    /// Whether every gateway has stopped sending, and the engine said after
-    /// that that nothing runs.
+    /// Returns whether all gateways have stopped sending requests to the engine and the
+    /// engine has since reported that nothing runs.
     fn has_drained(&mut self, order: &OutstandingOrder, context: &StepContext<'_>) -> bool {
         let since = order.out_of_service_since;
         if !context.gateways.all_confirmed(since, context.now) {
@@ -276,7 +276,7 @@
     }
 }
 
-/// Whether nothing else is desired of an engine than what it is.
+/// Returns whether the engine has its desired assignment, or none is desired.
 fn is_as_desired(record: &BackendRecord) -> bool {
     let observed = record.observed.as_ref().map(|seen| &seen.assignment);
     let desired = record.desired.as_ref();
--- a/components/control/src/replica/gateway_requests.rs
+++ b/components/control/src/replica/gateway_requests.rs
@@ -42,7 +42,7 @@
                 self.copies.record(&gateway, copies, self.now);
                 self.note_living(&evidence);
                 self.fleet_load
-                    .record(&gateway, sent_at, backlogs, evidence, self.now);
+                    .record_report(&gateway, sent_at, backlogs, evidence, self.now);
                 let update = self.update_for(&gateway, connection, configuration_index);
                 let reply = self.watch_reply(&gateway, connection, update, group_index, sent_at);
                 self.effects
--- a/components/control/src/shared.rs
+++ b/components/control/src/shared.rs
@@ -1,4 +1,4 @@
-//! A value that goes to many gateways and is encoded once for all of them.
+//! A value that is sent to many gateways and encoded once for all of them.
 
 use std::io::{self, Read, Write};
 use std::ops::Deref;
@@ -11,20 +11,20 @@
 use serde::ser::Error as _;
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
-/// Encodings from this length on are compressed, in bytes, once for all gateways:
-/// a record of an engine takes 28 bytes of the link in place of 66 (10,000 records
-/// with names drawn at random). A shorter one fits into one packet as it is.
-const COMPRESSED_FROM_BYTES: usize = 1024;
-/// Longest encoding that is read, in bytes: a whole configuration of twice the
-/// target's size fits.
+/// Encodings of at least this length are compressed, once for all gateways. With 10,000
+/// records with random names this reduces an engine's record from 66 to 28 bytes. A
+/// shorter encoding fits into one packet uncompressed.
+const MIN_COMPRESSED_BYTES: usize = 1024;
+/// Longest encoding that is decoded: enough for a full configuration of twice the size
+/// that the system is designed for.
 const MAX_ENCODED_BYTES: u64 = 64 * 1024 * 1024;
 
-/// First byte of an encoding as it is.
+/// First byte of an uncompressed encoding.
 const PLAIN: u8 = 0;
-/// First byte of a compressed one.
+/// First byte of a compressed encoding.
 const COMPRESSED: u8 = 1;
 
-/// A shared value and its encoding. Whoever sends it first encodes it.
+/// A shared value and its encoding, which is made when the value is first sent.
 #[derive(Debug, Clone)]
 pub struct Shared<T> {
     value: Arc<T>,
@@ -32,14 +32,14 @@
 }
 
 impl<T> Shared<T> {
-    /// The value, to be kept.
+    /// A shared reference to the value.
     pub fn value(&self) -> Arc<T> {
         Arc::clone(&self.value)
     }
 }
 
 impl<T: Clone> Shared<T> {
-    /// The value itself; copied where others share it.
+    /// Returns the value, cloned if it is still shared.
     pub fn into_inner(self) -> T {
         Arc::unwrap_or_clone(self.value)
     }
@@ -82,7 +82,7 @@
             return serializer.serialize_bytes(bytes);
         }
         let encoded = bincode::serde::encode_to_vec(&*self.value, bincode::config::standard());
-        let bytes = packed(encoded.map_err(S::Error::custom)?).map_err(S::Error::custom)?;
+        let bytes = compress(encoded.map_err(S::Error::custom)?).map_err(S::Error::custom)?;
         serializer.serialize_bytes(self.encoded.get_or_init(|| bytes))
     }
 }
@@ -90,7 +90,7 @@
 impl<'de, T: DeserializeOwned> Deserialize<'de> for Shared<T> {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
         let bytes = serde_bytes::ByteBuf::deserialize(deserializer)?;
-        let bytes = unpacked(&bytes).map_err(D::Error::custom)?;
+        let bytes = decompress(&bytes).map_err(D::Error::custom)?;
         let (value, read) = bincode::serde::decode_from_slice(&bytes, bincode::config::standard())
             .map_err(D::Error::custom)?;
         if read != bytes.len() {
@@ -100,8 +100,8 @@
     }
 }
 
-fn packed(encoded: Vec<u8>) -> io::Result<Vec<u8>> {
-    if encoded.len() < COMPRESSED_FROM_BYTES {
+fn compress(encoded: Vec<u8>) -> io::Result<Vec<u8>> {
+    if encoded.len() < MIN_COMPRESSED_BYTES {
         let mut plain = vec![PLAIN];
         plain.extend(encoded);
         return Ok(plain);
@@ -111,7 +111,7 @@
     encoder.finish()
 }
 
-fn unpacked(bytes: &[u8]) -> io::Result<Vec<u8>> {
+fn decompress(bytes: &[u8]) -> io::Result<Vec<u8>> {
     let invalid = |reason| io::Error::new(io::ErrorKind::InvalidData, reason);
     match bytes.split_first() {
         Some((&PLAIN, plain)) => Ok(plain.to_vec()),
