--- a/components/control/src/state.rs
+++ b/components/control/src/state.rs
@@ -26,67 +26,66 @@
 
 pub use formats::{STATE_FORMAT, StateDecodeError};
 
-/// First answers that are kept for resent commands, the oldest dropped first.
+/// Number of first answers that are kept for resent commands; the oldest are dropped.
 const KEPT_ANSWERS: usize = 10_000;
 
-/// For so long a request is refused: its caller has given it up by then, or an
-/// operator has looked at it. Then it begins anew, and may crash three engines
-/// again; a request that was refused by mistake is served again.
-const QUARANTINE: Millis = Millis::from_secs(4 * 3600);
-/// Requests that are refused at once, some 30 bytes each; the one that would end
-/// first gives way.
-const MOST_QUARANTINED: usize = 1024;
-/// Suspected requests that are kept, some 150 bytes each, the oldest dropped
-/// first.
-const MOST_SUSPECTS: usize = 512;
-/// For so long a suspected request that is not heard of is kept.
-const SUSPECT_FOR: Millis = Millis::from_secs(900);
-
-/// Everything that survives in the control group.
+/// How long a request is quarantined: by then its caller has given up, or an operator has
+/// looked at it. Afterwards it is served again, also if it was quarantined by mistake, and
+/// may again crash three engines.
+const QUARANTINE_DURATION: Millis = Millis::from_secs(4 * 3600);
+/// Maximum number of quarantined requests, about 30 bytes each; beyond it the one whose
+/// quarantine ends first is released.
+const MAX_QUARANTINED: usize = 1024;
+/// Maximum number of suspected requests, about 150 bytes each; the oldest are dropped.
+const MAX_SUSPECTS: usize = 512;
+/// How long a suspected request is kept after it was last reported.
+const SUSPECT_RETENTION: Millis = Millis::from_secs(900);
+
+/// The replicated state of the control group.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ControlState {
-    /// What gateways must know.
+    /// The configuration that gateways work by.
     pub configuration: Configuration,
-    /// The document of the route table in force, as its operator wrote it.
+    /// The document of the route table in force, as the operator wrote it.
     pub routes_document: Option<String>,
-    /// Claims on keys.
+    /// Claims on idempotency keys.
     pub claims: Claims,
-    /// Requests by tenant, as they are told to the platform.
+    /// Counts of requests by tenant, which are reported to the platform.
     pub usage: Usage,
-    /// Who holds the duties towards the platform.
+    /// Holders of the duties towards the platform.
     pub tenures: Tenures,
-    /// Engines that services need, where they are bought.
+    /// Number of engines that each service needs, if its engines are bought.
     pub needed_engines: BTreeMap<ServiceId, u32>,
-    /// Requests that have come close to being refused.
+    /// Requests that are suspected of crashing engines but not quarantined yet.
     pub suspects: BTreeMap<RequestFingerprint, SuspectRecord>,
-    /// Highest clock reading of any command: the clock of the log.
+    /// The clock of the log: the highest clock reading of any command.
     clock: Millis,
     answers: BTreeMap<CommandId, CommandAnswer>,
     answer_order: VecDeque<CommandId>,
-    /// Which versions the entries of the log are of.
+    /// Encoding versions of the log's entries.
     pub encoding: LogEncoding,
 }
 
-/// What the log knows of a suspected request.
+/// Record of a suspected request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SuspectRecord {
-    /// Engines that ended under it.
+    /// Engines that ended while they ran it.
     pub engines: Vec<EngineStart>,
-    /// When that was noted, by the clock of the log.
+    /// When it was last reported, by the clock of the log.
     pub noted_at: Millis,
 }
 
-/// A command's answer and the changes of the configuration that it made.
+/// The answer to a command and the changes of the configuration that it made.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Applied {
     /// The answer.
     pub answer: CommandAnswer,
-    /// Changes for the gateways, none for most refused commands.
+    /// Changes of the configuration; none for most refused commands.
     pub changes: Vec<ConfigurationChange>,
 }
 
 impl Applied {
-    fn refused(answer: CommandAnswer) -> Self {
+    fn without_change(answer: CommandAnswer) -> Self {
         Applied {
             answer,
             changes: Vec::new(),
@@ -108,7 +107,7 @@
     }
 
     /// Applies a command by the rules of the version that it was written in: members of
-    /// that version apply it too, and all must come to the same state.
+    /// that version apply it too, and all must reach the same state.
     pub(crate) fn apply_by(
         &mut self,
         version: EncodingVersion,
@@ -118,7 +117,7 @@
     ) -> Applied {
         self.clock = self.clock.max(envelope.at);
         if let Some(first) = self.first_answer(envelope) {
-            return Applied::refused(first);
+            return Applied::without_change(first);
         }
         let fence = Fence { term, index };
         let applied = self.execute(version, fence, envelope);
@@ -176,7 +175,7 @@
             Command::RemoveBackend(id) => self.remove_backend(fence.index, id),
             Command::Assign { engine, assignment } => {
                 if let Some(conflict) = self.backend_conflict(engine, expected) {
-                    return Applied::refused(conflict);
+                    return Applied::without_change(conflict);
                 }
                 self.edit(engine, fence.index, |record| {
                     if record.registration.kind != BackendKind::Engine {
@@ -215,15 +214,15 @@
             }
             Command::Claim(claim) => {
                 let answer = self.claims.claim(claim, self.clock);
-                Applied::refused(CommandAnswer::Claim(answer))
+                Applied::without_change(CommandAnswer::Claim(answer))
             }
             Command::ReleaseClaim(claim) => {
                 let answer = self.claims.release(claim, self.clock);
-                Applied::refused(CommandAnswer::Claim(answer))
+                Applied::without_change(CommandAnswer::Claim(answer))
             }
             Command::RecordResult { claim, response } => {
                 let answer = self.claims.record(claim, response.clone());
-                Applied::refused(CommandAnswer::Claim(answer))
+                Applied::without_change(CommandAnswer::Claim(answer))
             }
             Command::BeginTenure(holder) => {
                 self.tenures.begin(Tenure {
@@ -231,23 +230,23 @@
                     term: fence.term,
                     token: fence.index,
                 });
-                self.noted()
+                self.accepted()
             }
             Command::CountUsage(reports) => {
                 reports.iter().for_each(|report| self.usage.count(report));
-                self.noted()
+                self.accepted()
             }
             Command::CloseUsage(window) => {
                 self.usage.close(*window);
-                self.noted()
+                self.accepted()
             }
             Command::NoteNeeded { service, engines } => {
                 self.needed_engines.insert(service.clone(), *engines);
-                self.noted()
+                self.accepted()
             }
             Command::UsageTold(window) => {
                 self.usage.mark_reported(*window);
-                self.noted()
+                self.accepted()
             }
             Command::QuarantineRequest {
                 fingerprint,
@@ -260,12 +259,12 @@
             }
             Command::NoteSuspects(suspects) => {
                 self.note_suspects(suspects);
-                self.noted()
+                self.accepted()
             }
-            Command::NoteMachines(notes) => self.note_machines(fence.index, notes),
-            Command::ForgetMachines(ids) => self.forget_machines(fence.index, ids),
-            // The version of the entry has raised the level already.
-            Command::RaiseLevel(_) => self.noted(),
+            Command::NoteMachines(updates) => self.update_machines(fence.index, updates),
+            Command::ForgetMachines(ids) => self.remove_machines(fence.index, ids),
+            // The version of the entry has already raised the level.
+            Command::RaiseLevel(_) => self.accepted(),
         }
     }
 
@@ -284,9 +283,10 @@
             let record = SuspectRecord { engines, noted_at };
             self.suspects.insert(*fingerprint, record);
         }
-        let is_fresh = |record: &SuspectRecord| noted_at.since(record.noted_at) <= SUSPECT_FOR;
+        let is_fresh =
+            |record: &SuspectRecord| noted_at.since(record.noted_at) <= SUSPECT_RETENTION;
         self.suspects.retain(|_, record| is_fresh(record));
-        while self.suspects.len() > MOST_SUSPECTS {
+        while self.suspects.len() > MAX_SUSPECTS {
             let oldest = self.suspects.iter().min_by_key(|(_, r)| r.noted_at);
             let Some(oldest) = oldest.map(|(id, _)| *id) else {
                 return;
@@ -295,15 +295,15 @@
         }
     }
 
-    /// Invariant: at most [`MOST_QUARANTINED`] are refused at once.
+    /// Invariant: at most [`MAX_QUARANTINED`] requests are quarantined at once.
     fn quarantine(&self, index: u64, fingerprint: RequestFingerprint, crashes: u32) -> Applied {
         let record = QuarantineRecord {
             crashes,
-            until: self.clock + QUARANTINE,
+            until: self.clock + QUARANTINE_DURATION,
         };
         let held = &self.configuration.quarantine;
         let mut changes = Vec::new();
-        if held.len() >= MOST_QUARANTINED && !held.contains_key(&fingerprint) {
+        if held.len() >= MAX_QUARANTINED && !held.contains_key(&fingerprint) {
             let first = held.iter().min_by_key(|(_, record)| record.until);
             changes.extend(first.map(|(id, _)| ConfigurationChange::RequestReleased(*id)));
         }
@@ -314,9 +314,9 @@
         }
     }
 
-    /// The answer to a command that changes nothing for gateways.
-    fn noted(&self) -> Applied {
-        Applied::refused(CommandAnswer::Accepted {
+    /// The result of a command that does not change the configuration.
+    fn accepted(&self) -> Applied {
+        Applied::without_change(CommandAnswer::Accepted {
             revision: self.configuration.index,
         })
     }
@@ -324,10 +324,12 @@
     fn create_session(&self, index: u64, session: &Session) -> Applied {
         match self.configuration.sessions.get(&session.id) {
             None => Applied::changed(index, ConfigurationChange::SessionCreated(session.clone())),
-            Some(existing) if existing == session => Applied::refused(CommandAnswer::Accepted {
-                revision: self.configuration.index,
-            }),
-            Some(_) => Applied::refused(CommandAnswer::Rejected(
+            Some(existing) if existing == session => {
+                Applied::without_change(CommandAnswer::Accepted {
+                    revision: self.configuration.index,
+                })
+            }
+            Some(_) => Applied::without_change(CommandAnswer::Rejected(
                 "a session of this name exists with another content".into(),
             )),
         }
@@ -335,7 +337,7 @@
 
     fn put_policy(&self, index: u64, name: &str, document: &str, expected: Option<u64>) -> Applied {
         if let Some(conflict) = self.policy_conflict(name, expected) {
-            return Applied::refused(conflict);
+            return Applied::without_change(conflict);
         }
         let record = PolicyRecord {
             document: document.to_owned(),
@@ -347,19 +349,19 @@
 
     fn withdraw_policy(&self, index: u64, name: &str, expected: Option<u64>) -> Applied {
         if let Some(conflict) = self.policy_conflict(name, expected) {
-            return Applied::refused(conflict);
+            return Applied::without_change(conflict);
         }
         let exists = self.configuration.policies.contains_key(name);
         let change = ConfigurationChange::PolicyWithdrawn(name.to_owned());
         change_if(exists, index, change)
     }
 
-    /// Invariant: the version only rises. A resent, an overtaken and an older
-    /// document are acknowledged alike and change nothing.
+    /// Invariant: the version only increases. Resent, overtaken and older documents are
+    /// all acknowledged and change nothing.
     fn put_routes(&mut self, index: u64, table: &Arc<RouteTable>, document: &str) -> Applied {
         let held = self.routes_version();
         if held.is_some_and(|held| table.version <= held) {
-            return Applied::refused(CommandAnswer::Accepted {
+            return Applied::without_change(CommandAnswer::Accepted {
                 revision: self.configuration.index,
             });
         }
@@ -387,7 +389,7 @@
         Applied::changed(index, ConfigurationChange::BackendPut(record))
     }
 
-    /// The record of a back end once it has introduced itself.
+    /// The record of a back end with a new registration.
     fn registered(&self, index: u64, registration: &BackendRegistration) -> BackendRecord {
         match self.configuration.backends.get(&registration.id) {
             Some(existing) => BackendRecord {
@@ -406,37 +408,37 @@
         }
     }
 
-    /// Notes that change nothing leave no trace, so that a list that was read
-    /// twice costs gateways nothing.
-    fn note_machines(&self, index: u64, notes: &[MachineUpdate]) -> Applied {
-        let put = |note: &MachineUpdate| {
-            let mut record = self.registered(index, &note.registration);
-            record.machine = note.state;
-            if let Some(observed) = &note.observed {
+    /// Updates without effect are skipped, so that a list that was read twice sends
+    /// nothing to gateways.
+    fn update_machines(&self, index: u64, updates: &[MachineUpdate]) -> Applied {
+        let put = |update: &MachineUpdate| {
+            let mut record = self.registered(index, &update.registration);
+            record.machine = update.state;
+            if let Some(observed) = &update.observed {
                 record.observed = Some(observed.with_known_start(record.observed.as_ref()));
             }
-            let held = self.configuration.backends.get(&note.registration.id);
-            let is_news = held.is_none_or(|held| {
+            let held = self.configuration.backends.get(&update.registration.id);
+            let is_changed = held.is_none_or(|held| {
                 record.registration != held.registration
                     || record.machine != held.machine
                     || record.observed != held.observed
             });
-            is_news.then_some(ConfigurationChange::BackendPut(record))
+            is_changed.then_some(ConfigurationChange::BackendPut(record))
         };
-        self.changed_by(index, notes.iter().filter_map(put).collect())
+        self.changed_by(index, updates.iter().filter_map(put).collect())
     }
 
-    fn forget_machines(&self, index: u64, ids: &[BackendId]) -> Applied {
-        let forgotten = ids
+    fn remove_machines(&self, index: u64, ids: &[BackendId]) -> Applied {
+        let removed = ids
             .iter()
             .flat_map(|id| self.remove_backend(index, id).changes);
-        self.changed_by(index, forgotten.collect())
+        self.changed_by(index, removed.collect())
     }
 
-    /// The answer to a command that made these changes, or none.
+    /// The result of a command that made these changes, which may be none.
     fn changed_by(&self, index: u64, changes: Vec<ConfigurationChange>) -> Applied {
         if changes.is_empty() {
-            return self.noted();
+            return self.accepted();
         }
         Applied {
             answer: CommandAnswer::Accepted { revision: index },
@@ -446,10 +448,11 @@
 
     fn remove_backend(&self, index: u64, id: &BackendId) -> Applied {
         match self.configuration.backends.get(id) {
-            // An order to an engine whose machine leaves can't be settled any more.
+            // An order to an engine on a leaving machine can't be settled any more, so only
+            // an order on a live machine prevents the removal.
             Some(record) if record.order.is_some() && record.machine == MachineState::Live => {
                 let reason = "an order of this engine is not settled";
-                Applied::refused(CommandAnswer::Rejected(reason.into()))
+                Applied::without_change(CommandAnswer::Rejected(reason.into()))
             }
             found => {
                 let change = ConfigurationChange::BackendRemoved(id.clone());
@@ -458,14 +461,14 @@
         }
     }
 
-    /// Invariant: an engine has at most one outstanding order, and a pool no more
-    /// engines that are out for one than it can spare. It is decided where
-    /// commands stand in one order: two that were proposed at once both looked
-    /// right when they were proposed.
+    /// Invariant: an engine has at most one outstanding order, and a pool has no more
+    /// engines out of routing than it can spare. This is checked when the command is
+    /// applied, where commands have one order: of two commands that were proposed at the
+    /// same time, each looked right when it was proposed.
     fn begin_order(&self, fence: Fence, engine: &BackendId, can_spare: bool) -> Applied {
         if !can_spare {
             let reason = "the rest of the pool would not serve what it serves now";
-            return Applied::refused(CommandAnswer::Rejected(reason.into()));
+            return Applied::without_change(CommandAnswer::Rejected(reason.into()));
         }
         self.edit(engine, fence.index, |record| {
             if record.order.is_some() {
@@ -508,8 +511,8 @@
         })
     }
 
-    /// What is known of an engine after an observation. Version 11 takes each one as it
-    /// is, also where it does not report a start.
+    /// The observed state of an engine after an observation. Version 11 records each
+    /// observation as it is, also if it has no start.
     fn observed(
         &self,
         version: EncodingVersion,
@@ -530,7 +533,7 @@
         edit: impl FnOnce(&mut BackendRecord) -> Result<(), String>,
     ) -> Applied {
         let Some(existing) = self.configuration.backends.get(id) else {
-            return Applied::refused(CommandAnswer::NotFound);
+            return Applied::without_change(CommandAnswer::NotFound);
         };
         let mut record = existing.clone();
         match edit(&mut record) {
@@ -538,7 +541,7 @@
                 record.revision = index;
                 Applied::changed(index, ConfigurationChange::BackendPut(record))
             }
-            Err(reason) => Applied::refused(CommandAnswer::Rejected(reason)),
+            Err(reason) => Applied::without_change(CommandAnswer::Rejected(reason)),
         }
     }
 }
@@ -552,6 +555,6 @@
     if exists {
         Applied::changed(index, change)
     } else {
-        Applied::refused(CommandAnswer::NotFound)
+        Applied::without_change(CommandAnswer::NotFound)
     }
 }
--- a/components/control/src/state/formats.rs
+++ b/components/control/src/state/formats.rs
@@ -1,7 +1,7 @@
-//! Formats of snapshots, of this build and of earlier ones.
+//! Snapshot formats of this build and of earlier ones.
 //!
-//! Contract: a snapshot is written in the format that each member can read, see
-//! [`LogEncoding::level`], and read in its own.
+//! Contract: a snapshot is written in a format that each member can read, see
+//! [`LogEncoding::level`], and is read by the format that it states.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -19,20 +19,20 @@
 use crate::encoding::{LogEncoding, NotInVersion, decoded, encoded, v11, v12};
 use crate::usage::Usage;
 
-/// Format of the states that this build writes at its own level.
+/// Format that this build writes at its own level.
 pub const STATE_FORMAT: u32 = FORMAT_6;
-/// Of encoding version 11.
+/// Format of encoding version 11.
 const FORMAT_2: u32 = 2;
-/// Of version 12.
+/// Format of version 12.
 const FORMAT_3: u32 = 3;
-/// Of versions 13 to 15.
+/// Format of versions 13 to 15.
 const FORMAT_4: u32 = 4;
-/// Of version 16.
+/// Format of version 16.
 const FORMAT_5: u32 = 5;
-/// Of version 17: states which versions the entries of the log are of.
+/// Format of version 17, which includes the encoding versions of the log's entries.
 const FORMAT_6: u32 = 6;
 
-/// The newest format that a version knows.
+/// The newest format that a version can read.
 fn newest_format(version: EncodingVersion) -> u32 {
     match version {
         EncodingVersion::V11 => FORMAT_2,
@@ -52,10 +52,10 @@
 }
 
 impl ControlState {
-    /// The state as bytes of a snapshot.
+    /// Encodes the state as a snapshot.
     ///
     /// # Errors
-    /// When the level's format has no place for what the state holds.
+    /// If the state can't be expressed in the format of the level.
     pub fn encode(&self) -> Result<Vec<u8>, NotInVersion> {
         match self.encoding.level() {
             Some(EncodingVersion::V11) => Ok(encoded(&(FORMAT_2, self.as_v11()?))),
@@ -64,15 +64,15 @@
         }
     }
 
-    /// The state from bytes of a snapshot.
+    /// Decodes a snapshot.
     ///
     /// # Errors
-    /// When the bytes are of a newer format or of another shape.
+    /// If the format is unknown or the bytes are malformed.
     pub fn decode(bytes: &[u8]) -> Result<Self, StateDecodeError> {
         ControlState::decode_by(EncodingVersion::CURRENT, bytes)
     }
 
-    /// The same by a replica that knows formats up to those of `version`.
+    /// The same for a replica that can read formats up to those of `version`.
     pub(crate) fn decode_by(
         version: EncodingVersion,
         bytes: &[u8],
@@ -123,7 +123,7 @@
     }
 }
 
-/// Requests that have come close to being refused.
+/// Requests that are suspected of crashing engines but not quarantined yet.
 type Suspects = BTreeMap<RequestFingerprint, SuspectRecord>;
 
 /// The state in formats 3 to 5, which differ in the configuration and in the suspects.
@@ -149,7 +149,7 @@
 type StateV16 = Stored<Configuration, Suspects>;
 
 impl<C, S> Stored<C, S> {
-    /// The state, whose log has entries of `version` without one.
+    /// The state, given that log entries without a version are of `version`.
     fn restored(
         self,
         version: EncodingVersion,
--- a/components/control/src/watch.rs
+++ b/components/control/src/watch.rs
@@ -1,4 +1,4 @@
-//! Recent changes, from which gateways are brought up to date.
+//! Recent changes of the configuration, and the updates that bring gateways up to date.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -9,22 +9,23 @@
 use crate::messages::WatchUpdate;
 use crate::shared::Shared;
 
-/// Changes that are kept at least; more of them are kept where there are more back
-/// ends. A gateway farther behind gets everything anew, which costs less by then.
-const KEPT_CHANGES: usize = 4096;
-/// A whole configuration is handed out as it was until so many changes have come:
-/// they reach a gateway after it, in one message of some 30 KB. While the log moves
-/// on with each moment of a start, hundreds of gateways take the same bytes.
-const MOST_CHANGES_ON_TOP: usize = 1024;
-
-/// What was sent to a gateway and has not shown in its questions for so long is
-/// taken as lost: two questions, ...
-const LOST_AFTER: Millis = Millis(500);
-/// ... and what each change takes on a link of 100 KB a second.
-const LOST_AFTER_EACH_CHANGE: Millis = Millis(2);
-
-/// What was sent to gateways last, so that an update that is under way is not
-/// sent again with each question.
+/// Minimum number of changes that are kept; in a larger fleet, as many as there are back
+/// ends. A gateway that is farther behind gets the full configuration, which is smaller
+/// than its missing changes.
+const MIN_KEPT_CHANGES: usize = 4096;
+/// The parts of a configuration are handed out until it is this many changes behind; the
+/// changes then follow in one message of about 30 KB. So during a start, while the log
+/// keeps growing, hundreds of gateways are sent the same encoded parts.
+const MAX_CHANGES_BEHIND: usize = 1024;
+
+/// An update counts as lost if the gateway's watch requests do not confirm it within this
+/// time, the time of two watch requests, ...
+const UPDATE_TIMEOUT: Millis = Millis(500);
+/// ... plus the time that each change takes on a link of 100 KB/s.
+const UPDATE_TIMEOUT_PER_CHANGE: Millis = Millis(2);
+
+/// The latest update sent to each gateway, so that an update in flight is not sent again
+/// in answer to each watch request.
 #[derive(Debug, Default)]
 pub(crate) struct SentUpdates {
     sent: BTreeMap<GatewayId, Sent>,
@@ -32,27 +33,26 @@
 
 #[derive(Debug, Clone, Copy)]
 struct Sent {
-    /// Updates of one connection arrive in their order.
+    /// Connection of the update; updates on one connection arrive in order.
     connection: u64,
-    /// Index that the gateway works by once all has arrived.
+    /// Index of the gateway's configuration once the update has arrived.
     index: u64,
-    /// When it is taken as lost.
+    /// When the update counts as lost.
     lost_at: Millis,
 }
 
 impl SentUpdates {
-    /// The index that the next update for a gateway builds on, which asks with
-    /// `asked`.
+    /// The index that the next update applies to, for a gateway that reports `asked` as
+    /// the index of its configuration.
     fn base(&self, gateway: &GatewayId, connection: u64, asked: u64, now: Millis) -> u64 {
-        let under_way = |sent: &&Sent| {
+        let in_flight = |sent: &&Sent| {
             sent.connection == connection && sent.index > asked && now < sent.lost_at
         };
-        let sent = self.sent.get(gateway).filter(under_way);
+        let sent = self.sent.get(gateway).filter(in_flight);
         sent.map_or(asked, |sent| sent.index)
     }
 
-    /// The update for a gateway that asks on a connection with the index that it
-    /// works by.
+    /// The update for a gateway that reports `asked` as the index of its configuration.
     pub(crate) fn update_for(
         &mut self,
         gateway: &GatewayId,
@@ -66,20 +66,20 @@
         let update = recent.update_for(base, configuration);
         match update {
             WatchUpdate::Current if base > asked => return WatchUpdate::UnderWay,
-            // The gateway knows which part it has asked for.
+            // Parts are tracked by the gateway, which requests them itself.
             WatchUpdate::Current | WatchUpdate::Parts { .. } => return update,
             _ => {}
         }
         let sent = Sent {
             connection,
             index: configuration.index,
-            lost_at: now + LOST_AFTER + Millis(LOST_AFTER_EACH_CHANGE.0 * update.changes()),
+            lost_at: now + UPDATE_TIMEOUT + Millis(UPDATE_TIMEOUT_PER_CHANGE.0 * update.changes()),
         };
         self.sent.insert(gateway.clone(), sent);
         update
     }
 
-    /// Forgets what has arrived or is lost.
+    /// Forgets updates that have arrived or count as lost.
     pub(crate) fn forget(&mut self, now: Millis) {
         self.sent.retain(|_, sent| now < sent.lost_at);
     }
@@ -89,42 +89,42 @@
 #[derive(Debug, Clone, Default)]
 pub struct RecentChanges {
     changes: VecDeque<(u64, ConfigurationChange)>,
-    /// Every change after this index is kept.
+    /// All changes after this index are kept.
     complete_after: u64,
-    /// The newest configuration that was handed out whole: many gateways ask
-    /// for it at once when they all start.
-    whole: Option<Shared<Configuration>>,
-    /// One that was handed out in parts.
+    /// The newest configuration that was sent in one message, kept because many gateways
+    /// ask for it at once when they all start.
+    full: Option<Shared<Configuration>>,
+    /// The configuration that is sent in parts.
     parts: Option<Parts>,
-    /// Changes since an index, as they were handed out since the last change:
-    /// most gateways stand at the same index.
-    handed_out: BTreeMap<u64, Shared<Vec<(u64, ConfigurationChange)>>>,
+    /// Lists of changes sent since the last change, by the index that they start from;
+    /// most gateways are at the same index.
+    sent_changes: BTreeMap<u64, Shared<Vec<(u64, ConfigurationChange)>>>,
 }
 
 impl RecentChanges {
-    /// Nothing is known of changes up to `index`.
+    /// Starts without the changes up to `index`.
     pub fn starting_at(index: u64) -> Self {
         RecentChanges {
             changes: VecDeque::new(),
             complete_after: index,
-            whole: None,
+            full: None,
             parts: None,
-            handed_out: BTreeMap::new(),
+            sent_changes: BTreeMap::new(),
         }
     }
 
-    /// Notes a change of a configuration with so many back ends.
+    /// Adds a change of a configuration that has `backends` back ends.
     pub fn push(&mut self, index: u64, change: ConfigurationChange, backends: usize) {
-        self.handed_out.clear();
+        self.sent_changes.clear();
         self.changes.push_back((index, change));
-        while self.changes.len() > KEPT_CHANGES.max(backends) {
+        while self.changes.len() > MIN_KEPT_CHANGES.max(backends) {
             if let Some((dropped, _)) = self.changes.pop_front() {
                 self.complete_after = dropped;
             }
         }
     }
 
-    /// What brings a gateway that works by `from` up to date.
+    /// The update that brings a gateway from index `from` up to date.
     pub fn update_for(&mut self, from: u64, configuration: &Configuration) -> WatchUpdate {
         if from == configuration.index {
             return WatchUpdate::Current;
@@ -142,7 +142,7 @@
 }
 
 impl RecentChanges {
-    /// The update for a gateway that takes no parts.
+    /// The same for a gateway whose version does not support parts.
     pub(crate) fn update_in_one(
         &mut self,
         from: u64,
@@ -164,49 +164,49 @@
         WatchUpdate::Parts { index }
     }
 
-    /// A part of the configuration that is handed out in parts now.
-    pub(crate) fn part(&self, place: PartRequest) -> Option<ConfigurationPart> {
-        self.parts.as_ref()?.part(place)
+    /// A part of the configuration that is currently sent in parts.
+    pub(crate) fn part(&self, request: PartRequest) -> Option<ConfigurationPart> {
+        self.parts.as_ref()?.part(request)
     }
 
     fn parts(&mut self, configuration: &Configuration) -> &Parts {
-        let held = self.parts.take();
-        let parts = held.filter(|parts| self.is_near(parts.index()));
+        let previous = self.parts.take();
+        let parts = previous.filter(|parts| self.is_recent(parts.index()));
         self.parts
             .insert(parts.unwrap_or_else(|| Parts::of(configuration)))
     }
 
-    /// Whether few changes lead from this index to the present.
-    fn is_near(&self, index: u64) -> bool {
+    /// Returns whether at most [`MAX_CHANGES_BEHIND`] changes were made since the index.
+    fn is_recent(&self, index: u64) -> bool {
         let newer = self.changes.iter().rev().map(|(at, _)| *at);
-        let on_top = newer.take_while(|at| *at > index);
+        let after_index = newer.take_while(|at| *at > index);
         index >= self.complete_after
-            && on_top.take(MOST_CHANGES_ON_TOP + 1).count() <= MOST_CHANGES_ON_TOP
+            && after_index.take(MAX_CHANGES_BEHIND + 1).count() <= MAX_CHANGES_BEHIND
     }
 
     fn since(&mut self, from: u64) -> Shared<Vec<(u64, ConfigurationChange)>> {
-        if let Some(changes) = self.handed_out.get(&from) {
+        if let Some(changes) = self.sent_changes.get(&from) {
             return changes.clone();
         }
         let newer = self.changes.iter().filter(|(index, _)| *index > from);
         let changes = Shared::from(without_replaced(newer));
-        self.handed_out.insert(from, changes.clone());
+        self.sent_changes.insert(from, changes.clone());
         changes
     }
 
-    /// The configuration as a whole.
+    /// The full configuration, shared by all gateways that are sent it.
     pub fn full_configuration(&mut self, configuration: &Configuration) -> Shared<Configuration> {
-        let same = |whole: &&Shared<Configuration>| whole.index == configuration.index;
-        if let Some(whole) = self.whole.as_ref().filter(same) {
-            return whole.clone();
+        let same = |full: &&Shared<Configuration>| full.index == configuration.index;
+        if let Some(full) = self.full.as_ref().filter(same) {
+            return full.clone();
         }
-        let whole = Shared::from(configuration.clone());
-        self.whole = Some(whole.clone());
-        whole
+        let full = Shared::from(configuration.clone());
+        self.full = Some(full.clone());
+        full
     }
 }
 
-/// What a change replaces as a whole.
+/// The item that a change replaces completely.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 enum Replaced<'a> {
     Routes,
@@ -222,19 +222,19 @@
     }
 }
 
-/// The changes, of those to the route table and to one back end only the
-/// newest: each one replaces the former as a whole.
+/// The changes without superseded ones: of the changes to the route table and to each
+/// back end only the newest is kept, as it replaces the earlier ones completely.
 fn without_replaced<'a>(
     changes: impl Iterator<Item = &'a (u64, ConfigurationChange)> + Clone,
 ) -> Vec<(u64, ConfigurationChange)> {
     let mut newest = BTreeMap::new();
-    for (place, (_, change)) in changes.clone().enumerate() {
+    for (position, (_, change)) in changes.clone().enumerate() {
         if let Some(replaced) = replaced(change) {
-            newest.insert(replaced, place);
+            newest.insert(replaced, position);
         }
     }
-    let is_newest = |(place, (_, change)): &(usize, &(u64, ConfigurationChange))| {
-        replaced(change).is_none_or(|replaced| newest.get(&replaced) == Some(place))
+    let is_newest = |(position, (_, change)): &(usize, &(u64, ConfigurationChange))| {
+        replaced(change).is_none_or(|replaced| newest.get(&replaced) == Some(position))
     };
     changes
         .enumerate()
