--- a/components/control/src/balancing.rs
+++ b/components/control/src/balancing.rs
@@ -83,7 +83,8 @@
         self.peak * MAX_DECODE_SWING
     }
 
-    /// The same demand per engine when the number of engines changes by `factor`.
+    /// The same total demand spread over another number of engines, which multiplies the
+    /// demand of each engine by `factor`.
     fn scaled(&self, factor: f64) -> Self {
         Demand {
             average: self.average * factor,
@@ -507,14 +508,14 @@
     let mut prefilling = 0;
     let mut decoding = 0;
     let mut decode = 0.0;
-    let mut free_places = 0.0;
+    let mut busy_places = 0.0;
     for Busy { role, backlog } in busy {
         if *role == EngineRole::Prefill {
             prefilling += usize::from(backlog.uncached.total() > 0);
         } else {
             decoding += 1;
             decode += occupied(backlog, limits);
-            free_places += limits.places(backlog.requests, backlog.held_tokens);
+            busy_places += limits.places(backlog.requests, backlog.held_tokens);
         }
     }
     let idle = roles.decode.saturating_sub(decoding);
@@ -523,7 +524,7 @@
         decode_engines: roles.decode,
         prefill: prefilling as f64 / roles.prefill.max(1) as f64,
         decode: decode / roles.decode.max(1) as f64,
-        places: free_places + (idle as u64 * limits.slots) as f64,
+        places: busy_places + (idle as u64 * limits.slots) as f64,
     }
 }
 
--- a/components/control/src/reconciler.rs
+++ b/components/control/src/reconciler.rs
@@ -164,8 +164,8 @@
         }
         let mut steps = Vec::new();
         let track = self.tracks.entry(engine.clone()).or_default();
-        let polls = self.polling == EnginePolling::Always || record.order.is_some();
-        if polls && elapsed(track.asked_at, context.now) >= POLL_INTERVAL {
+        let is_polled = self.polling == EnginePolling::Always || record.order.is_some();
+        if is_polled && elapsed(track.asked_at, context.now) >= POLL_INTERVAL {
             track.asked_at = Some(context.now);
             steps.push(Step::Ask(EngineRequest::Status));
         }
--- a/components/control/tests/state/balancing.rs
+++ b/components/control/tests/state/balancing.rs
@@ -1,4 +1,4 @@
-//! The leader states roles so that prefill engines and decode engines are in balance.
+//! The leader assigns roles so that prefill engines and decode engines are in balance.
 
 use crate::leader::Leader;
 use garnet_control::{
@@ -64,11 +64,11 @@
         uncached: PriorityCounts::at(0, uncached),
         held_tokens: uncached,
     };
-    told((0..engines).map(backlog).collect())
+    report_of((0..engines).map(backlog).collect())
 }
 
-/// One gateway tells what it has under way.
-fn told(backlogs: Vec<Backlog>) -> Event {
+/// One gateway reports its work in flight.
+fn report_of(backlogs: Vec<Backlog>) -> Event {
     let request = GatewayRequest::Watch {
         gateway: GatewayId::new("gateway-1"),
         configuration_index: 0,
@@ -86,8 +86,12 @@
     }
 }
 
-/// The roles stated while a list is read each second.
-fn stated(leader: &mut Leader, lists: &[Vec<MachineEntry>], watched: &Event) -> Vec<EngineRole> {
+/// The roles that the leader assigns while it reads one of the lists each second.
+fn assigned_roles(
+    leader: &mut Leader,
+    lists: &[Vec<MachineEntry>],
+    watched: &Event,
+) -> Vec<EngineRole> {
     let mut roles = Vec::new();
     for list in lists {
         leader.take(Event::Machines(list.clone()));
@@ -104,7 +108,7 @@
 }
 
 #[test]
-fn before_any_load_two_thirds_read_and_nothing_is_taken_back() {
+fn before_any_load_two_thirds_prefill_and_none_changes_back() {
     let mut leader = leader();
     let parts = [
         list(4)[..3].to_vec(),
@@ -114,11 +118,11 @@
         list(4),
         list(4),
     ];
-    let roles = stated(&mut leader, &parts, &watch(0, 0));
+    let roles = assigned_roles(&mut leader, &parts, &watch(0, 0));
     assert_eq!(roles, [EngineRole::Prefill, EngineRole::Prefill]);
 }
 
-/// A pool of which two fifths prefill.
+/// A pool of which two fifths are prefill engines.
 fn pool(engines: usize) -> Vec<MachineEntry> {
     let role = |number| match number % 5 {
         0 | 1 => EngineRole::Prefill,
@@ -129,115 +133,116 @@
         .collect()
 }
 
-/// The roles stated for such a pool before any load.
-fn stated_for(engines: usize) -> usize {
+/// Number of roles assigned in such a pool before any load.
+fn assigned_count(engines: usize) -> usize {
     let lists: Vec<_> = (0..4).map(|_| pool(engines)).collect();
-    stated(&mut leader(), &lists, &watch(0, 0)).len()
+    assigned_roles(&mut leader(), &lists, &watch(0, 0)).len()
 }
 
-/// Before any load is known, the share of prefill engines is a guess. In a pool
-/// of ten thousand engines the guess took 2,500 of them out of service, each for
-/// seconds and with its cache, while a few were needed in all.
+/// Before any load is known, the share of prefill engines is a guess. Regression: in a pool
+/// of ten thousand engines it took 2,500 of them out of service for seconds, which lost
+/// their caches, although a few changes were enough.
 #[test]
-fn a_guess_changes_no_more_engines_in_a_larger_pool() {
-    assert_eq!(stated_for(30), 8);
-    assert_eq!(stated_for(400), 0);
-    assert_eq!(stated_for(800), 0);
+fn the_initial_share_changes_no_more_engines_in_a_larger_pool() {
+    assert_eq!(assigned_count(30), 8);
+    assert_eq!(assigned_count(400), 0);
+    assert_eq!(assigned_count(800), 0);
 }
 
-/// Back ends that a leader looks at in five seconds in which nothing happens.
+/// Number of back ends that a leader examines in five idle seconds.
 fn looked_at(engines: usize) -> u64 {
     let mut leader = leader();
     let lists: Vec<_> = (0..4).map(|_| pool(engines)).collect();
-    stated(&mut leader, &lists, &watch(0, 0));
+    assigned_roles(&mut leader, &lists, &watch(0, 0));
     let before = leader.replica.looked_at();
     leader.run(Millis::from_secs(5));
     leader.replica.looked_at() - before
 }
 
-/// The leader of ten thousand engines looked at each of them twenty times a
+/// Regression: the leader of ten thousand engines examined each of them twenty times a
 /// second, with a copy of its name each time, also while nothing happened.
 #[test]
-fn a_leader_looks_at_nothing_while_nothing_happens() {
+fn an_idle_leader_examines_no_back_ends() {
     assert_eq!(looked_at(400), looked_at(800));
 }
 
-/// Roles stated when one engine of a loaded pool is replaced by one of another role.
-fn stated_for_a_newcomer(engines: usize) -> usize {
+/// Number of roles assigned when one engine of a loaded pool is replaced by one of another
+/// role.
+fn assigned_count_for_a_newcomer(engines: usize) -> usize {
     let mut leader = leader();
     let before = pool(engines);
     let loaded = watch(4_000, engines / 10);
-    stated(&mut leader, &vec![before.clone(); 3], &loaded);
+    assigned_roles(&mut leader, &vec![before.clone(); 3], &loaded);
     let mut after = before;
     after[0].state = MachineState::Leaving;
     after.push(entry(engines + 1, EngineRole::Mixed));
-    stated(&mut leader, &vec![after; 3], &loaded).len()
+    assigned_roles(&mut leader, &vec![after; 3], &loaded).len()
 }
 
-/// While a pool's engines are replaced one after the other, each that came changed its
-/// role so that the share of prefill engines held to the last one of thousands.
+/// Regression: while the engines of a pool of thousands were replaced one by one, each new
+/// engine changed its role to keep the share of prefill engines exact.
 #[test]
 fn one_engine_of_hundreds_changes_no_role() {
-    assert_eq!(stated_for_a_newcomer(40), 1);
-    assert_eq!(stated_for_a_newcomer(400), 0);
+    assert_eq!(assigned_count_for_a_newcomer(40), 1);
+    assert_eq!(assigned_count_for_a_newcomer(400), 0);
 }
 
 #[test]
-fn a_new_leader_under_load_does_not_begin_anew() {
+fn a_new_leader_under_load_keeps_the_current_split() {
     let mut leader = leader();
     let light = watch(0, 5);
     let lists = vec![list(4); 3];
-    let roles = stated(&mut leader, &lists, &light);
-    // No prompt is prefilled, but requests run: the split that stands is kept.
+    let roles = assigned_roles(&mut leader, &lists, &light);
+    // No prompt is prefilled, but requests run: the current split is kept.
     let busy = watch(50, 2);
     let mut other = self::leader();
-    let kept = stated(&mut other, &lists, &busy);
+    let kept = assigned_roles(&mut other, &lists, &busy);
     assert_eq!(roles.len(), 2);
     assert_eq!(kept, []);
 }
 
 #[test]
-fn the_last_generator_of_a_zone_stays() {
+fn the_last_decode_engine_of_a_zone_stays() {
     let mut leader = leader();
     let busy = watch(9000, 6);
-    // Engines 6, 7 and 8 generate, one in each zone; all prefill engines are busy.
-    let roles = stated(&mut leader, &vec![list(6); 20], &busy);
+    // Engines 6, 7 and 8 decode, one in each zone; all prefill engines are busy.
+    let roles = assigned_roles(&mut leader, &vec![list(6); 20], &busy);
     assert_eq!(roles, []);
 }
 
-/// Every third engine generates, and has so many requests of 2,000 tokens; the
-/// others read prompts or rest.
+/// Every third engine decodes `requests` requests of 2,000 tokens each; the others prefill
+/// if `prefill` is set.
 fn mix(prefill: bool, requests: u64) -> Event {
     let backlog = |number: usize| {
-        let generates = number >= 6;
+        let decodes = number >= 6;
         Backlog {
             backend: BackendId::new(format!("engine-{number}")),
-            requests: if generates { requests } else { 1 },
-            uncached: PriorityCounts::at(0, u64::from(!generates && prefill) * 9_000),
-            held_tokens: if generates { requests * 2_000 } else { 9_000 },
+            requests: if decodes { requests } else { 1 },
+            uncached: PriorityCounts::at(0, u64::from(!decodes && prefill) * 9_000),
+            held_tokens: if decodes { requests * 2_000 } else { 9_000 },
         }
     };
-    told((0..9).map(backlog).collect())
+    report_of((0..9).map(backlog).collect())
 }
 
 #[test]
 fn the_first_swing_of_a_mix_takes_no_engine_from_the_next() {
     let mut leader = leader();
-    // 60 of 64 slots are taken, and nothing is prefilled for ten seconds.
+    // 60 of 64 slots are occupied, and nothing is prefilled for ten seconds.
     let swing = mix(false, 60);
-    assert_eq!(stated(&mut leader, &vec![list(6); 10], &swing), []);
+    assert_eq!(assigned_roles(&mut leader, &vec![list(6); 10], &swing), []);
 }
 
 #[test]
-fn a_load_that_stays_moves_engines() {
+fn a_lasting_load_changes_roles() {
     let mut leader = leader();
     // Twice as many requests as slots, for six minutes.
     let stays = mix(false, 128);
-    let roles = stated(&mut leader, &vec![list(6); 360], &stays);
+    let roles = assigned_roles(&mut leader, &vec![list(6); 360], &stays);
     assert_eq!(roles.first(), Some(&EngineRole::Mixed), "{roles:?}");
 }
 
-/// Twelve engines of which eight prefill, and six more that all decode.
+/// Twelve engines, eight of them prefill engines, and six more decode engines.
 fn grown_list() -> Vec<MachineEntry> {
     let role = |number| match number {
         0..8 => EngineRole::Prefill,
@@ -246,50 +251,50 @@
     (0..18).map(|number| entry(number, role(number))).collect()
 }
 
-/// Engines that come under load bring a split of their own: so many of them
-/// change that the pool keeps its share.
+/// Engines that are added under load have roles in another proportion: as many of them
+/// change as are needed for the pool to keep its share.
 #[test]
-fn engines_that_come_keep_the_share_of_the_phases() {
+fn added_engines_keep_the_share_of_the_phases() {
     let mut leader = leader();
     let light = watch(50, 2);
     let before = vec![grown_list()[..12].to_vec(); 3];
-    assert_eq!(stated(&mut leader, &before, &light), []);
-    let roles = stated(&mut leader, &vec![grown_list(); 3], &light);
+    assert_eq!(assigned_roles(&mut leader, &before, &light), []);
+    let roles = assigned_roles(&mut leader, &vec![grown_list(); 3], &light);
     assert_eq!(roles, [EngineRole::Prefill; 4]);
 }
 
-/// One that is replaced by another of the same role changes nothing.
+/// Replacing an engine by one of the same role changes nothing.
 #[test]
 fn an_engine_that_is_replaced_changes_no_role() {
     let mut leader = leader();
     let light = watch(50, 2);
     let all = grown_list();
-    stated(&mut leader, &vec![all[..12].to_vec(); 3], &light);
+    assigned_roles(&mut leader, &vec![all[..12].to_vec(); 3], &light);
     let mut replaced = all[1..12].to_vec();
     replaced.push(entry(20, EngineRole::Prefill));
-    assert_eq!(stated(&mut leader, &vec![replaced; 3], &light), []);
+    assert_eq!(assigned_roles(&mut leader, &vec![replaced; 3], &light), []);
 }
 
-/// The engines that are out for an order after a list of decode engines was
-/// read for some seconds.
+/// Number of engines with an outstanding order after a list of decode engines was read for
+/// some seconds.
 fn out_of_service(watched: &Event) -> usize {
     let mut leader = leader();
     let all_decode = || list(1);
     let lists = vec![all_decode(); 5];
-    stated(&mut leader, &lists, watched);
+    assigned_roles(&mut leader, &lists, watched);
     let backends = &leader.replica.state().configuration.backends;
     backends.values().filter(|r| r.order.is_some()).count()
 }
 
-/// Before any load five of eight decode engines change at once; under load no
-/// more than a quarter of the pool is out.
+/// Before any load five of eight decode engines change at once; under load at most a
+/// quarter of the pool is out of routing.
 #[test]
 fn an_idle_pool_changes_roles_at_once() {
     assert_eq!(out_of_service(&watch(0, 0)), 5);
     assert!(out_of_service(&watch(9_000, 9)) <= 2);
 }
 
-/// Sixty engines in three zones, of which forty prefill.
+/// Sixty engines in three zones, forty of them prefill engines.
 fn large_pool() -> Vec<MachineEntry> {
     let role = |number| {
         if number < 40 {
@@ -309,31 +314,31 @@
         uncached: PriorityCounts::at(0, if number < 40 { 9_000 } else { 0 }),
         held_tokens: 9_000,
     };
-    told((0..60).map(backlog).collect())
+    report_of((0..60).map(backlog).collect())
 }
 
 #[test]
-fn a_large_pool_follows_a_swing_within_seconds() {
+fn a_large_pool_adapts_to_a_swing_within_seconds() {
     let mut leader = leader();
-    let roles = stated(&mut leader, &vec![large_pool(); 8], &long_prompts());
-    // One engine in twelve at a time, and no decode engine but those of which a
-    // swing leaves enough.
+    let roles = assigned_roles(&mut leader, &vec![large_pool(); 8], &long_prompts());
+    // At most one engine in twelve changes at a time, and only as many decode engines as
+    // the expected swing allows.
     assert!(roles.len() >= 5, "{roles:?}");
     assert!(roles.iter().all(|role| *role == EngineRole::Prefill));
 }
 
-/// All engines that generate say that they take one request a second, and prompts
-/// are read by six others for nobody: a limit makes an engine no capacity of its
-/// phase. Before, no role was stated while callers were refused.
+/// All decode engines state a limit of one request per second, so the prefills of the six
+/// other engines are of no use: an engine with such a limit does not count as capacity of
+/// its phase. Regression: no role was assigned although callers were refused.
 #[test]
-fn engines_with_a_limit_are_no_capacity_of_their_phase() {
+fn engines_with_a_limit_do_not_count_as_capacity() {
     let mut leader = leader();
     let lists: Vec<_> = (0..6).map(|_| list(6)).collect();
-    assert_eq!(stated(&mut leader, &lists, &watch(4_000, 6)), []);
+    assert_eq!(assigned_roles(&mut leader, &lists, &watch(4_000, 6)), []);
     for number in 6..9 {
         leader.take(limited(number, Some("1")));
     }
-    let roles = stated(&mut leader, &lists, &watch(4_000, 6));
+    let roles = assigned_roles(&mut leader, &lists, &watch(4_000, 6));
     assert_eq!(roles.first(), Some(&EngineRole::Mixed));
 }
 
--- a/components/control/tests/state/claims.rs
+++ b/components/control/tests/state/claims.rs
@@ -1,4 +1,4 @@
-//! Claims: what makes a request run at most once.
+//! Claims, which make a request run at most once.
 
 use garnet_control::{CLAIM_RETENTION, ClaimAnswer, ClaimCommand, Claims};
 use garnet_types::{
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn a_released_key_goes_to_the_next_but_never_back_to_the_first() {
+fn a_released_key_is_granted_to_another_claim_but_not_to_the_same() {
     let mut claims = Claims::default();
     claims.claim(&claim("one", 5), START);
     claims.release(&claim("one", 5), START);
@@ -74,21 +74,24 @@
     assert_eq!(claims.claim(&claim("two", 5), START), ClaimAnswer::Granted);
 }
 
-/// The release overtook the claim on another connection.
+/// The release, sent on another connection, overtook the claim.
 #[test]
-fn a_claim_that_was_given_back_before_it_arrived_is_not_granted() {
+fn a_claim_that_was_released_before_it_arrived_is_not_granted() {
     let mut claims = Claims::default();
     claims.release(&claim("one", 5), START);
     assert_eq!(claims.claim(&claim("one", 5), START), ClaimAnswer::Released);
 }
 
 #[test]
-fn a_claim_is_kept_for_its_whole_retention_and_no_longer() {
+fn a_claim_is_kept_exactly_for_its_retention() {
     let mut claims = Claims::default();
     claims.claim(&claim("one", 5), START);
     let last = START + CLAIM_RETENTION - Millis(1);
     assert_eq!(claims.claim(&claim("two", 5), last), ClaimAnswer::Held);
-    let over = START + CLAIM_RETENTION;
-    assert_eq!(claims.claim(&claim("two", 5), over), ClaimAnswer::Granted);
+    let expired = START + CLAIM_RETENTION;
+    assert_eq!(
+        claims.claim(&claim("two", 5), expired),
+        ClaimAnswer::Granted
+    );
     assert_eq!(claims.len(), 1);
 }
--- a/components/control/tests/state/configuration_transfer.rs
+++ b/components/control/tests/state/configuration_transfer.rs
@@ -1,10 +1,10 @@
-//! Handing the whole configuration to many gateways.
+//! Transfer of the full configuration to many gateways.
 //!
-//! At a start before ten thousand engines each of a thousand gateways asked for
-//! the whole configuration while the log moved on. The leader made a copy of its
-//! own for each and queued it; copies of 0.9 MB waited for a link that was taken,
-//! gateways heard nothing for over a second, went away and asked anew, and leaders
-//! ended by their memory or lost their lease.
+//! Regression: at a start with ten thousand engines each of a thousand gateways asked for
+//! the full configuration while the log kept growing. The leader queued a separate copy of
+//! 0.9 MB for each; the copies waited for a saturated link, gateways received nothing for
+//! over a second, reconnected and asked again, and leaders ran out of memory or lost their
+//! lease.
 
 use garnet_control::{
     Configuration, ConfigurationLoader, ConfigurationPart, ControlReply, Event, GatewayRequest,
@@ -15,7 +15,7 @@
 use crate::leader::Leader;
 use crate::machine_list::{entry, leader, list};
 
-/// Bytes of a reply as it is sent.
+/// Encoded length of a reply, in bytes.
 fn len_bytes(reply: &ControlReply) -> usize {
     let encoded = bincode::serde::encode_to_vec(reply, bincode::config::standard());
     encoded.expect("plain data").len()
@@ -38,7 +38,7 @@
     }
 }
 
-fn knows(machines: usize) -> Leader {
+fn leader_with(machines: usize) -> Leader {
     let mut leader = leader();
     take(&mut leader, list(machines));
     leader
@@ -50,8 +50,8 @@
     let _effects = leader.replica.take_effects();
 }
 
-/// Takes all parts; `between` happens after each of them. Gives the configuration
-/// and the bytes of the longest part.
+/// Loads all parts and calls `between` after each of them. Returns the configuration and
+/// the length of the longest part in bytes.
 fn load(leader: &mut Leader, mut between: impl FnMut(&mut Leader)) -> (Configuration, usize) {
     let offer = watch(leader, 1, 0);
     let mut longest = 0;
@@ -61,16 +61,16 @@
     let mut loader = ConfigurationLoader::default();
     let mut next = loader.on_offer(*index, leader.now);
     loop {
-        let place = next.expect("a part is to be asked for");
-        let answer = reply(leader, GatewayRequest::Part(place));
+        let part_request = next.expect("a part is to be asked for");
+        let answer = reply(leader, GatewayRequest::Part(part_request));
         longest = longest.max(len_bytes(&answer));
         let ControlReply::Part(Some(part)) = answer else {
             panic!("{answer:?}");
         };
         match loader.take(part, leader.now) {
-            PartOutcome::Next(place) => next = Some(place),
+            PartOutcome::Next(part_request) => next = Some(part_request),
             PartOutcome::Complete(configuration) => return (configuration, longest),
-            PartOutcome::Ignored => panic!("{place:?} is left aside"),
+            PartOutcome::Ignored => panic!("{part_request:?} is ignored"),
         }
         between(leader);
     }
@@ -78,8 +78,8 @@
 
 #[test]
 fn no_part_grows_with_the_fleet() {
-    let (small, longest_of_small) = load(&mut knows(2_000), |_| {});
-    let (large, longest_of_large) = load(&mut knows(4_000), |_| {});
+    let (small, longest_of_small) = load(&mut leader_with(2_000), |_| {});
+    let (large, longest_of_large) = load(&mut leader_with(4_000), |_| {});
     assert_eq!((small.backends.len(), large.backends.len()), (2_000, 4_000));
     assert!(longest_of_small < 32 * 1024, "{longest_of_small} bytes");
     assert!(
@@ -89,16 +89,16 @@
 }
 
 #[test]
-fn a_gateway_is_sent_what_the_leader_knows() {
-    let mut leader = knows(1_500);
+fn a_gateway_is_sent_the_leaders_configuration() {
+    let mut leader = leader_with(1_500);
     let (loaded, _) = load(&mut leader, |_| {});
     assert_eq!(loaded, leader.replica.state().configuration);
 }
 
-/// What has changed while the parts were taken follows as changes.
+/// Changes made while the parts are transferred follow as incremental changes.
 #[test]
-fn changes_on_the_way_follow() {
-    let mut leader = knows(1_500);
+fn changes_during_the_transfer_follow() {
+    let mut leader = leader_with(1_500);
     let mut left = 0;
     let (mut loaded, _) = load(&mut leader, |leader| {
         let mut changed = list(1_500);
@@ -120,10 +120,10 @@
     assert_eq!(loaded, leader.replica.state().configuration);
 }
 
-/// Gateways that come while the log moves on are handed the same bytes.
+/// Gateways that connect while the log grows are sent the same bytes.
 #[test]
 fn a_start_makes_one_copy_for_all_gateways() {
-    let mut leader = knows(2_000);
+    let mut leader = leader_with(2_000);
     let mut indices = Vec::new();
     for gateway in 0..50 {
         let offer = watch(&mut leader, gateway, 0);
@@ -139,10 +139,10 @@
     assert_eq!(indices.len(), 1, "{indices:?}");
 }
 
-/// The connection that a part was asked on may be gone, and the part with it.
+/// A part may be lost with the connection on which it was requested.
 #[test]
-fn a_part_that_does_not_come_is_asked_for_again() {
-    let mut leader = knows(2_000);
+fn a_lost_part_is_requested_again() {
+    let mut leader = leader_with(2_000);
     let mut loader = ConfigurationLoader::default();
     let first = loader.on_offer(7, leader.now);
     assert_eq!(
@@ -160,8 +160,8 @@
 }
 
 #[test]
-fn a_part_of_another_configuration_is_left_aside() {
-    let mut leader = knows(2_000);
+fn a_part_of_another_configuration_is_ignored() {
+    let mut leader = leader_with(2_000);
     let offer = watch(&mut leader, 1, 0);
     let WatchUpdate::Parts { index } = *update(&offer) else {
         panic!("{offer:?}");
@@ -172,8 +172,8 @@
     };
     let answer = reply(&mut leader, GatewayRequest::Part(stale));
     assert_eq!(answer, ControlReply::Part(None));
-    let place = PartRequest { index, number: 1 };
-    let answer = reply(&mut leader, GatewayRequest::Part(place));
+    let part_request = PartRequest { index, number: 1 };
+    let answer = reply(&mut leader, GatewayRequest::Part(part_request));
     let ControlReply::Part(Some(part)) = answer else {
         panic!("{answer:?}");
     };
--- a/components/control/tests/state/copies.rs
+++ b/components/control/tests/state/copies.rs
@@ -1,4 +1,4 @@
-//! Copies of prompt prefixes, as the leader passes them on.
+//! Copies of prompt prefixes, which the leader passes on to gateways.
 
 use garnet_control::{
     BackendRegistration, Command, ControlReply, CopyUpdates, Event, GatewayRequest, MembersHash,
@@ -8,8 +8,8 @@
 
 use crate::leader::Leader;
 
-/// Copies that one answer carries at most.
-const MOST_IN_ANSWER: usize = 256;
+/// Maximum number of copies in one answer.
+const MAX_IN_ANSWER: usize = 256;
 
 fn copies(prefixes: std::ops::Range<u64>) -> Vec<PromptCopy> {
     let copy = |prefix| PromptCopy {
@@ -19,8 +19,8 @@
     prefixes.map(copy).collect()
 }
 
-/// A watch of a gateway that tells `told`; gives what it hears.
-fn watch(leader: &mut Leader, gateway: &str, told: Vec<PromptCopy>) -> Vec<PromptCopy> {
+/// Sends a watch in which a gateway reports `reported`; returns the copies in the answer.
+fn watch(leader: &mut Leader, gateway: &str, reported: Vec<PromptCopy>) -> Vec<PromptCopy> {
     let request = GatewayRequest::Watch {
         gateway: GatewayId::new(gateway),
         configuration_index: 1,
@@ -29,14 +29,14 @@
         mix: Vec::new(),
         backlogs: Vec::new(),
         evidence: Vec::new(),
-        copies: told,
+        copies: reported,
     };
     let mut replies = leader.replies(1, request).into_iter();
-    let heard = replies.find_map(|reply| match reply {
+    let received = replies.find_map(|reply| match reply {
         ControlReply::Watch { copies, .. } => Some(copies),
         _ => None,
     });
-    named(&heard.expect("an answer"))
+    named(&received.expect("an answer"))
 }
 
 /// The back ends of the configuration, in order.
@@ -44,14 +44,14 @@
     ["engine-0", "engine-1"].map(BackendId::new).to_vec()
 }
 
-/// News with the names of the engines.
-fn named(news: &CopyUpdates) -> Vec<PromptCopy> {
-    assert_eq!(news.members, MembersHash::of(ids().iter()));
+/// The copies of an update, with the names of the engines.
+fn named(updates: &CopyUpdates) -> Vec<PromptCopy> {
+    assert_eq!(updates.members, MembersHash::of(ids().iter()));
     let copy = |copy: &garnet_control::PositionedCopy| PromptCopy {
         prefix: copy.prefix,
         backend: ids()[usize::from(copy.place)].clone(),
     };
-    news.copies.iter().map(copy).collect()
+    updates.copies.iter().map(copy).collect()
 }
 
 fn leader() -> Leader {
@@ -73,29 +73,29 @@
 }
 
 #[test]
-fn each_gateway_hears_once_what_the_others_told() {
+fn each_gateway_is_sent_once_what_its_peers_reported() {
     let mut leader = leader();
     assert_eq!(watch(&mut leader, "a", copies(0..2)), []);
     assert_eq!(watch(&mut leader, "b", copies(2..3)), copies(0..2));
     assert_eq!(watch(&mut leader, "b", Vec::new()), []);
     assert_eq!(watch(&mut leader, "a", Vec::new()), copies(2..3));
-    // One that comes later hears of all.
+    // A gateway that connects later is sent all copies.
     assert_eq!(watch(&mut leader, "c", Vec::new()), copies(0..3));
 }
 
 #[test]
 fn an_answer_is_bounded_and_the_rest_follows() {
     let mut leader = leader();
-    let all = copies(0..MOST_IN_ANSWER as u64 + 10);
+    let all = copies(0..MAX_IN_ANSWER as u64 + 10);
     watch(&mut leader, "a", all.clone());
-    let mut heard = watch(&mut leader, "b", Vec::new());
-    assert_eq!(heard.len(), MOST_IN_ANSWER);
-    heard.extend(watch(&mut leader, "b", Vec::new()));
-    assert_eq!(heard, all);
+    let mut received = watch(&mut leader, "b", Vec::new());
+    assert_eq!(received.len(), MAX_IN_ANSWER);
+    received.extend(watch(&mut leader, "b", Vec::new()));
+    assert_eq!(received, all);
 }
 
 #[test]
-fn what_was_told_long_ago_is_forgotten() {
+fn old_reports_are_forgotten() {
     let mut leader = leader();
     watch(&mut leader, "a", copies(0..2));
     leader.now = leader.now + Millis(20_001);
--- a/components/control/tests/state/engine_orders.rs
+++ b/components/control/tests/state/engine_orders.rs
@@ -1,5 +1,5 @@
-//! Orders in the replicated state: one an engine, one a pool, never the last
-//! engine of a phase.
+//! Orders in the replicated state: at most one for an engine, at most one in a small pool,
+//! and never for the last engine of a phase.
 
 use crate::fleet::{assign, engine, observation, pool};
 use garnet_control::{Command, CommandAnswer};
@@ -12,7 +12,7 @@
     matches!(answer, CommandAnswer::Accepted { .. })
 }
 
-/// Two orders that one reconciler pass proposed, each right by itself.
+/// One pass of the reconciler may propose two orders that are each right by themselves.
 #[test]
 fn two_engines_of_a_pool_are_never_out_at_once() {
     let mut log = pool(&[Prefill, Prefill, Decode, Decode]);
@@ -26,8 +26,8 @@
 
 #[rstest]
 #[case::other_of_each_phase(&[Prefill, Prefill, Decode], true)]
-#[case::last_that_reads(&[Prefill, Decode, Decode], false)]
-#[case::last_that_generates(&[Decode, Prefill, Prefill], false)]
+#[case::last_prefill_engine(&[Prefill, Decode, Decode], false)]
+#[case::last_decode_engine(&[Decode, Prefill, Prefill], false)]
 #[case::mixed_serves_both(&[Prefill, Mixed], true)]
 #[case::alone(&[Mixed], false)]
 fn an_order_leaves_both_phases_served(#[case] roles: &[EngineRole], #[case] allowed: bool) {
@@ -78,15 +78,12 @@
     assert!(log.state.configuration.backends[&engine(0)].takes_work());
 }
 
-/// The only engine of a phase crashed and came back with the role it starts
-/// with: the pool must not stay without the phase for good.
+/// The only engine of a phase crashed and restarted with its initial role: the pool must
+/// not lose the phase permanently.
 #[rstest]
 #[case::no_prefill(&[Prefill, Decode, Decode], Decode)]
 #[case::no_decode(&[Decode, Prefill, Prefill], Prefill)]
-fn a_phase_that_is_gone_can_be_restored(
-    #[case] roles: &[EngineRole],
-    #[case] restarted: EngineRole,
-) {
+fn a_lost_phase_can_be_restored(#[case] roles: &[EngineRole], #[case] restarted: EngineRole) {
     let mut log = pool(roles);
     log.apply(assign(0, roles[0]));
     log.apply(Command::Observe {
@@ -125,8 +122,8 @@
     assert!(!is_accepted(&log.apply(renew(fence))), "it was replaced");
 }
 
-/// A pool without work changes all its engines at once, as long as others
-/// serve each phase.
+/// A pool without work may change any number of engines at once, as long as the rest serves
+/// each phase.
 #[test]
 fn any_number_of_engines_of_an_idle_pool_are_out_at_once() {
     let mut log = pool(&[Decode, Decode, Decode, Decode, Prefill]);
--- a/components/control/tests/state/fleet.rs
+++ b/components/control/tests/state/fleet.rs
@@ -1,4 +1,4 @@
-//! A control state with engines in it, and commands for it.
+//! Helpers: a control state with engines, and commands for it.
 
 use garnet_control::{
     BackendRegistration, Command, CommandAnswer, CommandEnvelope, ControlState, EngineObservation,
@@ -8,7 +8,7 @@
     BackendId, BackendKind, CommandId, EngineAssignment, EngineRole, Millis, ModelId, ServiceId,
 };
 
-/// Term of every command here.
+/// Term of all commands.
 pub const TERM: u64 = 3;
 
 /// A state and the index of its last command.
@@ -19,12 +19,12 @@
 }
 
 impl Log {
-    /// Applies a command and gives its answer.
+    /// Applies a command and returns its answer.
     pub fn apply(&mut self, command: Command) -> CommandAnswer {
         self.apply_envelope(&envelope(command))
     }
 
-    /// Applies a command with its envelope and gives its answer.
+    /// Applies a command with its envelope and returns its answer.
     pub fn apply_envelope(&mut self, envelope: &CommandEnvelope) -> CommandAnswer {
         self.index += 1;
         self.state.apply(self.index, TERM, envelope).answer
@@ -45,7 +45,7 @@
     }
 }
 
-/// What an engine is set up for.
+/// An assignment of a role and a model.
 pub fn assignment(role: EngineRole, model: &str) -> EngineAssignment {
     EngineAssignment {
         role,
@@ -58,7 +58,7 @@
     BackendId::new(format!("engine-{number}"))
 }
 
-/// A state that knows engines of the given roles, all of one pool.
+/// A state with engines of the given roles, all of one pool.
 pub fn pool(roles: &[EngineRole]) -> Log {
     let mut log = Log::default();
     for (number, role) in roles.iter().enumerate() {
@@ -71,7 +71,7 @@
     log
 }
 
-/// Makes an engine known.
+/// Registers an engine.
 pub fn register(number: usize) -> Command {
     Command::PutBackend(BackendRegistration {
         id: engine(number),
@@ -83,7 +83,7 @@
     })
 }
 
-/// An engine of one role, in its first start.
+/// The observation of an engine of a role, in its first start.
 pub fn observation(role: EngineRole) -> EngineObservation {
     EngineObservation {
         incarnation: 1,
@@ -91,7 +91,7 @@
     }
 }
 
-/// States that an engine shall have a role.
+/// Sets the desired role of an engine.
 pub fn assign(number: usize, role: EngineRole) -> Command {
     Command::Assign {
         engine: engine(number),
--- a/components/control/tests/state/fleet_size.rs
+++ b/components/control/tests/state/fleet_size.rs
@@ -1,4 +1,4 @@
-//! Engines that are bought and given back: the leader's orders in virtual time.
+//! The leader's orders to buy and to release engines, in virtual time.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -61,18 +61,18 @@
     }
 }
 
-/// A provider that carries out orders, and its list.
+/// A provider that carries out orders, and its list of machines.
 struct Provider {
     leader: Leader,
-    /// Engines that serve, by zone and kind.
+    /// Number of serving engines, by zone and kind.
     engines: BTreeMap<(usize, EngineKind), u32>,
-    /// What an order for preemptible engines is answered with.
+    /// Answer to orders for preemptible engines.
     answer: DutyAnswer,
     calls: Vec<DutyCall>,
 }
 
 impl Provider {
-    /// `dedicated` engines in each zone, before a service with these terms.
+    /// A provider with `dedicated` engines in each zone, and a service with these terms.
     fn with(dedicated: u32, buying: Option<BuyingTerms>) -> Self {
         let in_zone = |zone| ((zone, EngineKind::Dedicated), dedicated);
         Provider {
@@ -91,7 +91,7 @@
         self.engines.iter().flat_map(of_kind).collect()
     }
 
-    /// Lets some seconds pass; orders are carried out at once.
+    /// Advances the time by some seconds; orders are carried out at once.
     fn run(&mut self, seconds: u64) {
         for _ in 0..seconds {
             self.leader.take(Event::Machines(self.list()));
@@ -114,13 +114,13 @@
         else {
             panic!("no usage is told here");
         };
-        let place = ZONES.iter().position(|name| name == zone).expect("a zone");
+        let zone_index = ZONES.iter().position(|name| name == zone).expect("a zone");
         let answer = match kind {
             EngineKind::Preemptible => self.answer,
             EngineKind::Dedicated => DutyAnswer::Done,
         };
         if answer == DutyAnswer::Done {
-            self.engines.insert((place, *kind), *engines);
+            self.engines.insert((zone_index, *kind), *engines);
         }
         self.calls.push(call.clone());
         self.leader.take(Event::DutyAnswered { call, answer });
@@ -157,7 +157,7 @@
     provider.run(12);
     assert_eq!(provider.count(EngineKind::Preemptible), [15, 15, 15]);
     assert_eq!(provider.count(EngineKind::Dedicated), [0, 0, 0]);
-    // Nothing is asked for that is there.
+    // Engines that exist are not ordered again.
     let calls = provider.calls.len();
     provider.run(30);
     assert_eq!(provider.calls.len(), calls);
@@ -170,10 +170,10 @@
     assert_eq!(provider.calls, []);
 }
 
-/// None are to be had: nothing is given back, and each next order goes under a
+/// Without preemptible engines no dedicated ones are released, and each further order has a
 /// higher token.
 #[test]
-fn refused_orders_give_nothing_back() {
+fn refused_orders_release_no_engines() {
     let mut provider = Provider::with(10, Some(terms()));
     provider.answer = DutyAnswer::Refused;
     provider.run(12);
@@ -195,10 +195,9 @@
     assert_eq!(provider.count(EngineKind::Dedicated), [0, 0, 0]);
 }
 
-/// An order without an answer may be carried out late: the next one makes it
-/// void.
+/// An order without an answer may be carried out late; the next one makes it void.
 #[test]
-fn an_unanswered_order_is_given_again_under_a_higher_token() {
+fn an_unanswered_order_is_repeated_with_a_higher_token() {
     let mut provider = Provider::with(10, Some(terms()));
     provider.answer = DutyAnswer::Unknown;
     provider.run(8);
@@ -213,7 +212,7 @@
 }
 
 #[test]
-fn a_zone_that_is_taken_away_is_bought_again() {
+fn engines_of_a_lost_zone_are_bought_again() {
     let mut provider = Provider::with(10, Some(terms()));
     provider.run(12);
     provider.engines.insert((1, EngineKind::Preemptible), 0);
@@ -226,10 +225,10 @@
     assert_eq!(provider.count(EngineKind::Dedicated), [0, 0, 0]);
 }
 
-/// What is needed is in the log: a new leader that sees only the preemptible
+/// The number of needed engines is in the log: a new leader that sees only the preemptible
 /// engines buys no fewer.
 #[test]
-fn a_new_leader_knows_what_is_needed() {
+fn a_new_leader_knows_how_many_engines_are_needed() {
     let mut provider = Provider::with(10, Some(terms()));
     provider.run(12);
     let needed = provider.leader.replica.state().needed_engines.clone();
--- a/components/control/tests/state/gateway_leases.rs
+++ b/components/control/tests/state/gateway_leases.rs
@@ -1,8 +1,8 @@
 //! Counting the gateways that hold a lease.
 //!
-//! Every answer to a gateway tells how many there are. Counting them anew for each
-//! made a thousand gateways, which ask four times a second each, cost the leader
-//! four million looks a second.
+//! Every answer to a gateway contains their number. Regression: the leader counted all
+//! leases for each answer, so a thousand gateways that ask four times a second each made it
+//! examine four million leases a second.
 
 use garnet_control::{CONFIGURATION_LEASE, GatewayLeases};
 use garnet_types::{GatewayId, Millis};
@@ -13,9 +13,9 @@
     GatewayId::new(format!("gateway-{number}"))
 }
 
-/// Each of so many gateways asks four times a second for ten seconds. Gives the
-/// leases that were looked at.
-fn looked_at(gateways: u64) -> u64 {
+/// Each of the gateways asks four times a second for ten seconds. Returns the number of
+/// leases that were examined.
+fn examined_by(gateways: u64) -> u64 {
     let mut leases = GatewayLeases::default();
     for round in 0..40 {
         for number in 0..gateways {
@@ -29,8 +29,8 @@
 }
 
 #[test]
-fn counting_gateways_grows_with_the_gateways() {
-    let (small, large) = (looked_at(100), looked_at(200));
+fn the_cost_of_counting_grows_linearly_with_the_gateways() {
+    let (small, large) = (examined_by(100), examined_by(200));
     assert!(
         large <= small * 5 / 2,
         "{small} looks for 100 gateways, {large} for 200"
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn a_gateway_that_falls_silent_is_counted_no_longer() {
+fn a_silent_gateway_is_no_longer_counted() {
     let mut leases = GatewayLeases::default();
     for number in 0..3 {
         leases.grant(gateway(number), 1, Millis(1000));
@@ -47,14 +47,14 @@
     assert_eq!(leases.count(Millis(1000)), 3);
     let later = Millis(2000);
     leases.grant(gateway(0), 1, later);
-    let first_are_over = Millis(1000) + CONFIGURATION_LEASE + CONFIGURATION_LEASE;
-    assert_eq!(leases.count(first_are_over), 0);
-    leases.grant(gateway(1), 1, first_are_over);
-    assert_eq!(leases.count(first_are_over), 1);
+    let after_expiry = Millis(1000) + CONFIGURATION_LEASE + CONFIGURATION_LEASE;
+    assert_eq!(leases.count(after_expiry), 0);
+    leases.grant(gateway(1), 1, after_expiry);
+    assert_eq!(leases.count(after_expiry), 1);
 }
 
 #[test]
-fn one_of_several_leases_ends() {
+fn leases_expire_one_by_one() {
     let mut leases = GatewayLeases::default();
     leases.grant(gateway(0), 1, Millis(1000));
     leases.grant(gateway(1), 1, Millis(2000));
--- a/components/control/tests/state/last_known.rs
+++ b/components/control/tests/state/last_known.rs
@@ -1,4 +1,4 @@
-//! What a replica that has just started tells gateways before there is a leader.
+//! What a replica that has just started answers gateways before there is a leader.
 
 use std::sync::Arc;
 
@@ -20,15 +20,15 @@
     }
 }
 
-/// What a gateway that works by `configuration_index` hears.
+/// The answer to a gateway whose configuration has the index `configuration_index`.
 fn ask(replica: &mut Leader, configuration_index: u64) -> Option<Shared<Configuration>> {
     let request = replica.watch_of("g", configuration_index);
     let mut replies = replica.replies(1, request).into_iter();
-    let heard = replies.find_map(|reply| match reply {
+    let received = replies.find_map(|reply| match reply {
         ControlReply::NotLeader { last_known, .. } => Some(last_known),
         _ => None,
     });
-    heard.expect("it is no leader")
+    received.expect("it is no leader")
 }
 
 fn restarted(commit_index: u64) -> Leader {
@@ -39,15 +39,15 @@
 }
 
 #[test]
-fn a_gateway_that_knows_nothing_hears_what_was_committed() {
-    let heard = ask(&mut restarted(2), 0).expect("all of the log is committed");
-    assert_eq!(heard.routes.as_ref().map(|table| table.version), Some(9));
-    assert_eq!(heard.index, 2);
+fn a_gateway_without_a_configuration_is_sent_the_committed_one() {
+    let received = ask(&mut restarted(2), 0).expect("all of the log is committed");
+    assert_eq!(received.routes.as_ref().map(|table| table.version), Some(9));
+    assert_eq!(received.index, 2);
 }
 
-/// Two voters of three are missing: no leader is elected.
+/// Two of three voters are missing, so no leader is elected.
 #[test]
-fn a_replica_that_finds_no_leader_falls_silent() {
+fn a_replica_without_a_leader_stops_sending_its_configuration() {
     let commands = vec![put(7)];
     let mut replica = Leader::restarted(Leader::settings(), commands, 1);
     replica.persist();
@@ -60,6 +60,6 @@
 #[case::the_newest_entry_may_have_been_accepted(1, 0)]
 #[case::nothing_is_known_of_commits(0, 0)]
 #[case::the_gateway_knows_a_configuration(2, 1)]
-fn otherwise_it_hears_nothing(#[case] commit_index: u64, #[case] configuration_index: u64) {
+fn otherwise_it_is_sent_nothing(#[case] commit_index: u64, #[case] configuration_index: u64) {
     assert_eq!(ask(&mut restarted(commit_index), configuration_index), None);
 }
--- a/components/control/tests/state/load_digest.rs
+++ b/components/control/tests/state/load_digest.rs
@@ -1,4 +1,4 @@
-//! The digest of load and health that the leader makes for all gateways.
+//! The digest of load and health that the leader sends to all gateways.
 
 use garnet_control::{
     BackendRegistration, BackendState, Backlog, Command, ControlReply, Effect, Event, Evidence,
@@ -14,9 +14,9 @@
 
 /// Time between two reports of a gateway.
 const INTERVAL: Millis = Millis(100);
-/// Back ends of the one service.
+/// Number of back ends of the service.
 const BACKENDS: usize = 6;
-const NOBODY: [usize; 0] = [];
+const NONE_FAILING: [usize; 0] = [];
 
 fn id(number: usize) -> BackendId {
     BackendId::new(format!("b-{number}"))
@@ -92,17 +92,21 @@
         .expect("an answer")
 }
 
-fn states(told: &GatewayDigest) -> Vec<BackendState> {
+fn states(sent_digest: &GatewayDigest) -> Vec<BackendState> {
     let members = MembersHash::of(ids().iter());
-    let told = told.digest.states(members).expect("the same back ends");
+    let positioned = sent_digest
+        .digest
+        .states(members)
+        .expect("the same back ends");
     let mut states = vec![BackendState::default(); BACKENDS];
-    for PositionedState { position, state } in told {
+    for PositionedState { position, state } in positioned {
         states[position] = state;
     }
     states
 }
 
-/// Each of `gateways` reports this once more; gives who is failing then.
+/// Each of `gateways` reports `seen` in each of `rounds`; returns which back ends are
+/// failing then.
 fn failing_after(
     leader: &mut Leader,
     gateways: usize,
@@ -118,20 +122,20 @@
         }
     }
     leader.run(INTERVAL);
-    let told = watch(leader, "asks", Vec::new(), Vec::new()).or(last);
-    let states = states(&told.expect("a digest"));
+    let newest = watch(leader, "asks", Vec::new(), Vec::new()).or(last);
+    let states = states(&newest.expect("a digest"));
     let failing = states.iter().enumerate().filter(|(_, s)| s.is_failing);
     failing.map(|(number, _)| number).collect()
 }
 
 #[test]
-fn all_are_told_the_same_bytes_and_each_what_is_counted_of_its_own() {
+fn all_are_sent_the_same_bytes_and_each_the_time_of_its_own_report() {
     let mut leader = leader();
     let first_sent = leader.now;
     watch(&mut leader, "a", vec![backlog(1, 2, 6_400)], Vec::new());
     watch(&mut leader, "b", vec![backlog(1, 1, 640)], Vec::new());
     leader.run(INTERVAL);
-    // The digest is made when it is asked for; it counts this very report.
+    // The digest is made in answer to this report and includes it.
     let second_sent = leader.now;
     let to_a = watch(&mut leader, "a", vec![backlog(1, 3, 64_000)], Vec::new()).expect("new");
     let to_b = watch(&mut leader, "b", Vec::new(), Vec::new()).expect("new to b");
@@ -141,17 +145,17 @@
     let state = states(&to_a)[1];
     assert_eq!((state.requests, state.held_tokens), (4, 64_640));
     assert_eq!(state.uncached, PriorityCounts::at(3, 64_640));
-    // Nobody is told the same digest twice.
+    // No gateway is sent the same digest twice.
     assert_eq!(watch(&mut leader, "a", Vec::new(), Vec::new()), None);
 }
 
 #[test]
-fn what_a_silent_gateway_had_under_way_is_over() {
+fn work_of_a_silent_gateway_no_longer_counts() {
     let mut leader = leader();
     watch(&mut leader, "a", vec![backlog(1, 2, 6_400)], Vec::new());
     leader.run(Millis(1500));
-    let told = watch(&mut leader, "b", Vec::new(), Vec::new()).expect("new to b");
-    assert_eq!(states(&told)[1], BackendState::default());
+    let to_b = watch(&mut leader, "b", Vec::new(), Vec::new()).expect("new to b");
+    assert_eq!(states(&to_b)[1], BackendState::default());
 }
 
 #[test]
@@ -162,88 +166,88 @@
 }
 
 #[test]
-fn one_gateways_own_broken_path_blames_nobody_for_all() {
+fn failures_at_a_single_gateway_mark_no_back_end_as_failing() {
     let mut leader = leader();
     let broken_path = |gateway| match gateway {
         0 => (0..BACKENDS).map(|number| evidence(number, 0, 3)).collect(),
         _ => Vec::new(),
     };
-    assert_eq!(failing_after(&mut leader, 3, 5, broken_path), NOBODY);
+    assert_eq!(failing_after(&mut leader, 3, 5, broken_path), NONE_FAILING);
 }
 
 #[test]
-fn what_befalls_all_back_ends_alike_blames_none() {
+fn failures_common_to_all_back_ends_mark_none_as_failing() {
     let mut leader = leader();
     let seen = |_| (0..BACKENDS).map(|n| evidence(n, 3, 2)).collect();
-    assert_eq!(failing_after(&mut leader, 4, 5, seen), NOBODY);
+    assert_eq!(failing_after(&mut leader, 4, 5, seen), NONE_FAILING);
 }
 
 #[rstest]
 #[case::few_failures(9, 1, false)]
 #[case::half(1, 1, true)]
 #[case::nearly_all(1, 9, true)]
-fn a_grey_back_end_is_failing_from_a_part_of_its_requests_on(
+fn a_back_end_is_failing_above_a_fraction_of_failed_requests(
     #[case] answered: u32,
     #[case] failed: u32,
     #[case] is_failing: bool,
 ) {
     let mut leader = leader();
     let seen = |_| {
-        let sound = (1..BACKENDS).map(|number| evidence(number, 10, 0));
-        sound.chain([evidence(0, answered, failed)]).collect()
+        let healthy = (1..BACKENDS).map(|number| evidence(number, 10, 0));
+        healthy.chain([evidence(0, answered, failed)]).collect()
     };
     let failing = failing_after(&mut leader, 3, 5, seen);
     assert_eq!(failing.contains(&0), is_failing, "{failing:?}");
 }
 
 #[test]
-fn a_failing_back_end_is_believed_again_when_it_answers() {
+fn a_failing_back_end_recovers_when_it_answers() {
     let mut leader = leader();
     assert_eq!(
         failing_after(&mut leader, 3, 5, |_| vec![evidence(0, 0, 1)]),
         [0]
     );
-    // One request a second tries it.
+    // One request a second probes it.
     let tried = |gateway| match gateway {
         0 => vec![evidence(0, 1, 0)],
         _ => Vec::new(),
     };
-    assert_eq!(failing_after(&mut leader, 3, 50, tried), NOBODY);
+    assert_eq!(failing_after(&mut leader, 3, 50, tried), NONE_FAILING);
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(22), ..ProptestConfig::default() })]
 
-    /// Tokens are rounded down by less than a step, and an entry stays small.
+    /// Tokens are rounded down by less than one unit, and an entry stays small.
     #[test]
-    fn a_digest_tells_what_was_reported(
+    fn a_digest_holds_what_was_reported(
         requests in 0_u64..200,
         tokens in proptest::collection::vec(0_u64..60_000, 3),
         held in 0_u64..400_000,
     ) {
         let mut uncached = PriorityCounts::default();
-        for (rank, tokens) in (0_u8..).zip(&tokens) {
-            uncached.add(rank * 4, *tokens);
+        for (priority, tokens) in (0_u8..).zip(&tokens) {
+            uncached.add(priority * 4, *tokens);
         }
         let mut leader = leader();
-        let told = Backlog { backend: id(4), requests, uncached, held_tokens: held };
-        let told = watch(&mut leader, "a", vec![told], Vec::new()).expect("a digest");
-        let state = states(&told)[4];
+        let reported = Backlog { backend: id(4), requests, uncached, held_tokens: held };
+        let newest = watch(&mut leader, "a", vec![reported], Vec::new()).expect("a digest");
+        let state = states(&newest)[4];
         prop_assert_eq!(state.requests, requests);
         prop_assert!(state.held_tokens <= held && held - state.held_tokens < 64);
         for ((_, kept), (_, sent)) in state.uncached.iter().zip(uncached.iter()) {
             prop_assert!(kept <= sent && sent - kept < 64);
         }
-        prop_assert!(told.digest.len_bytes() <= BACKENDS * 4 + 20);
+        prop_assert!(newest.digest.len_bytes() <= BACKENDS * 4 + 20);
     }
 }
 
 #[test]
-fn a_digest_of_other_back_ends_is_not_read() {
+fn a_digest_of_other_back_ends_is_ignored() {
     let mut leader = leader();
-    let told = watch(&mut leader, "a", Vec::new(), Vec::new()).expect("a digest");
+    let newest = watch(&mut leader, "a", Vec::new(), Vec::new()).expect("a digest");
     let others = MembersHash::of(ids().iter().skip(1));
-    assert_eq!(told.digest.states(others), None);
+    assert_eq!(newest.digest.states(others), None);
 }
 
 #[test]
@@ -253,10 +257,10 @@
     assert!("no hash".parse::<MembersHash>().is_err());
 }
 
-/// A digest of `backends` back ends of which every `one_of`th has work.
+/// A digest of `backends` back ends, of which one in `one_of` has work.
 fn digest_of(backends: usize, one_of: usize) -> LoadDigest {
     let ids: Vec<BackendId> = (0..backends).map(id).collect();
-    let state = |place: usize| match place % one_of {
+    let state = |position: usize| match position % one_of {
         0 => BackendState {
             requests: 3,
             uncached: PriorityCounts::at(2, 6_400),
@@ -268,8 +272,9 @@
     LoadDigest::encode(MembersHash::of(ids.iter()), (0..backends).map(state))
 }
 
-/// Of ten thousand engines a few hundred have work. Telling of all of them made the
-/// digest so long that, at the bytes that a gateway may be sent, it was seconds old.
+/// Of ten thousand engines a few hundred have work. Regression: a digest with an entry for
+/// every engine was so long that it was seconds old at the rate at which a gateway may be
+/// sent digests.
 #[test]
 fn a_digest_grows_with_the_work_and_not_with_the_fleet() {
     let small = digest_of(2_000, 20).len_bytes();
@@ -279,13 +284,13 @@
 }
 
 #[test]
-fn a_digest_places_whom_it_tells_of() {
+fn a_digest_gives_the_positions_of_its_back_ends() {
     let ids: Vec<BackendId> = (0..100).map(id).collect();
     let members = MembersHash::of(ids.iter());
-    let told = digest_of(100, 30)
+    let states = digest_of(100, 30)
         .states(members)
         .expect("the same back ends");
-    let places: Vec<usize> = told.iter().map(|told| told.position).collect();
-    assert_eq!(places, [0, 30, 60, 90]);
-    assert!(told.iter().all(|told| told.state.requests == 3));
+    let positions: Vec<usize> = states.iter().map(|entry| entry.position).collect();
+    assert_eq!(positions, [0, 30, 60, 90]);
+    assert!(states.iter().all(|entry| entry.state.requests == 3));
 }
--- a/components/control/tests/state/machine_list.rs
+++ b/components/control/tests/state/machine_list.rs
@@ -1,9 +1,8 @@
-//! Taking the platform's list of machines.
+//! Applying the platform's list of machines.
 //!
-//! A start before ten thousand engines put two entries for each of them into the
-//! log. Whoever read the list again before all were committed put them in once
-//! more; snapshots followed one another, leaders lost their lease, and changes of
-//! the operators waited behind.
+//! Regression: a start with ten thousand engines wrote two log entries for each of them,
+//! and once more for each time the list was read before they were committed. Snapshots
+//! followed one another, leaders lost their lease, and operators' changes were delayed.
 
 use crate::leader::Leader;
 use garnet_control::{
@@ -52,7 +51,7 @@
     leader
 }
 
-/// Entries that a reading of the list adds to the log.
+/// Number of log entries that the leader writes for a list.
 fn entries_of(leader: &mut Leader, list: Vec<MachineEntry>) -> u64 {
     let before = leader.replica.node().status().last_index;
     leader.take(Event::Machines(list));
@@ -64,7 +63,7 @@
 }
 
 #[test]
-fn the_log_of_a_start_grows_by_a_small_part_of_the_machines() {
+fn a_start_writes_few_entries_for_many_machines() {
     let small = entries_of(&mut leader(), list(1_000));
     let large = entries_of(&mut leader(), list(2_000));
     assert!(small <= 10, "{small} entries for 1,000 machines");
@@ -75,7 +74,7 @@
 }
 
 #[test]
-fn a_list_that_is_read_while_its_news_is_under_way_adds_nothing() {
+fn a_list_that_is_read_again_before_it_is_committed_adds_nothing() {
     let mut leader = leader();
     entries_of(&mut leader, list(600));
     assert_eq!(entries_of(&mut leader, list(600)), 0);
@@ -85,7 +84,7 @@
 }
 
 #[test]
-fn what_changed_in_a_list_is_all_that_is_noted() {
+fn only_the_changes_of_a_list_are_recorded() {
     let mut leader = leader();
     entries_of(&mut leader, list(600));
     leader.persist();
@@ -107,7 +106,7 @@
 }
 
 #[test]
-fn the_loss_of_a_zone_is_a_few_entries() {
+fn the_loss_of_a_zone_is_one_entry() {
     let mut leader = leader();
     entries_of(&mut leader, list(1_000));
     leader.persist();
@@ -122,10 +121,9 @@
     assert_eq!(entries_of(&mut leader, rest), 1);
 }
 
-/// The list tells the start of an engine, its own report may not: what does not tell
-/// it changes nothing, and another start is news.
+/// An observation without a start changes nothing; one with another start is a restart.
 #[test]
-fn another_start_of_an_engine_is_noted() {
+fn a_restart_of_an_engine_is_recorded() {
     let mut leader = leader();
     entries_of(&mut leader, list(3));
     leader.persist();
@@ -140,8 +138,8 @@
     assert_eq!(seen.expect("an engine").incarnation, 77);
 }
 
-/// An entry of another writer may not tell the start: the one that is known stands, and
-/// nothing goes into the log.
+/// Some sources of the list omit the start: the known start is kept, and nothing is written
+/// to the log.
 #[test]
 fn an_entry_without_a_start_changes_no_record() {
     let mut leader = leader();
--- a/components/control/tests/state/main.rs
+++ b/components/control/tests/state/main.rs
@@ -1,4 +1,4 @@
-//! The replicated state: what each command answers and changes.
+//! Tests of the replicated state and of the leader: what each command answers and changes.
 
 mod balancing;
 mod claims;
--- a/components/control/tests/state/routes.rs
+++ b/components/control/tests/state/routes.rs
@@ -1,4 +1,4 @@
-//! The route table in the replicated state, and who may read it.
+//! The route table in the replicated state, and when operators can read it.
 
 use std::sync::Arc;
 
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn a_new_leader_reads_nothing_out_before_it_has_applied_its_own_term() {
+fn a_new_leader_answers_no_read_before_it_has_applied_an_entry_of_its_term() {
     let mut leader = Leader::elected(Leader::settings(), vec![put(7, "seven")]);
     let mut rounds = 0;
     loop {
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn a_gateway_hears_only_the_newest_of_several_tables() {
+fn a_gateway_is_sent_only_the_newest_of_several_tables() {
     let mut leader = Leader::elected(Leader::settings(), vec![put(7, "seven")]);
     for version in 8..12 {
         let envelope = CommandEnvelope::unnamed(put(version, "later"), leader.now);
@@ -86,7 +86,7 @@
         connection,
         request,
     });
-    // Whoever watches on a new connection is told the limits of engines besides.
+    // A gateway on a new connection is also sent the limits of engines.
     let [
         Effect::ReplyGateway { reply, .. },
         Effect::ReplyGateway {
--- a/components/control/tests/state/watching.rs
+++ b/components/control/tests/state/watching.rs
@@ -1,4 +1,4 @@
-//! What a gateway is sent of the configuration: each change once.
+//! Updates of the configuration: a gateway is sent each change once.
 
 use std::sync::Arc;
 
@@ -30,7 +30,7 @@
     let _answers = leader.replica.take_effects();
 }
 
-/// The update that a gateway is sent which asks with the index that it works by.
+/// The update for a gateway that reports `index` as the index of its configuration.
 fn update(leader: &mut Leader, connection: u64, index: u64) -> WatchUpdate {
     let request = leader.watch_of("gateway-1", index);
     match leader.replies(connection, request).into_iter().next() {
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn an_update_under_way_is_not_sent_again() {
+fn an_update_in_flight_is_not_sent_again() {
     let mut leader = leader();
     let first = update(&mut leader, 1, 0);
     let WatchUpdate::Snapshot(configuration) = first else {
@@ -54,13 +54,13 @@
     };
     leader.run(Millis(400));
     assert_eq!(update(&mut leader, 1, 0), WatchUpdate::UnderWay);
-    // It has arrived.
+    // The update has arrived.
     let arrived = update(&mut leader, 1, configuration.index);
     assert_eq!(arrived, WatchUpdate::Current);
 }
 
 #[test]
-fn what_changes_meanwhile_builds_on_what_is_under_way() {
+fn further_changes_apply_to_the_update_in_flight() {
     let mut leader = leader();
     let WatchUpdate::Snapshot(sent) = update(&mut leader, 1, 0) else {
         panic!("no snapshot");
@@ -74,9 +74,9 @@
     assert_eq!(update(&mut leader, 1, to), WatchUpdate::Current);
 }
 
-/// What went out on a connection that broke may never arrive.
+/// Updates sent on a broken connection may never arrive.
 #[test]
-fn another_connection_is_sent_all_of_it() {
+fn a_new_connection_is_sent_the_full_update() {
     let mut leader = leader();
     update(&mut leader, 1, 0);
     assert!(matches!(
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn what_does_not_arrive_is_sent_again() {
+fn a_lost_update_is_sent_again() {
     let mut leader = leader();
     update(&mut leader, 1, 0);
     leader.run(Millis(600));
@@ -96,9 +96,9 @@
     ));
 }
 
-/// Of several changes to one back end a gateway hears the newest.
+/// Of several changes of one back end a gateway is sent only the newest.
 #[test]
-fn a_gateway_hears_only_the_newest_of_a_back_end() {
+fn a_gateway_is_sent_only_the_newest_change_of_a_back_end() {
     let mut leader = leader();
     let WatchUpdate::Snapshot(sent) = update(&mut leader, 1, 0) else {
         panic!("no snapshot");
@@ -132,10 +132,10 @@
     let _answers = leader.replica.take_effects();
 }
 
-/// What is encoded once for many arrives as it was, and bytes that are cut are
-/// an error.
+/// A value that is encoded once for many receivers is decoded unchanged, and truncated
+/// bytes are an error.
 #[test]
-fn a_shared_value_is_read_as_it_was_written() {
+fn a_shared_value_is_decoded_unchanged() {
     let value = Shared::from(vec![(3_u64, "a".to_owned()), (9, "b".to_owned())]);
     let standard = bincode::config::standard();
     let first = bincode::serde::encode_to_vec(&value, standard).expect("plain data");
