--- a/bin/garnet-gateway/src/settings.rs
+++ b/bin/garnet-gateway/src/settings.rs
@@ -132,6 +132,6 @@
         first_token_target: target.map_or(defaults.first_token_target, Millis),
         first_token_share: share.unwrap_or(defaults.first_token_share),
         generation_margin: margin.unwrap_or(defaults.generation_margin),
-        longest_retry_after: longest.map_or(defaults.longest_retry_after, Millis),
+        max_retry_after: longest.map_or(defaults.max_retry_after, Millis),
     }
 }
--- a/components/forwarding/src/forwarder/availability.rs
+++ b/components/forwarding/src/forwarder/availability.rs
@@ -1,6 +1,6 @@
 //! What back ends report of whether they take requests.
 
-use garnet_routing::{Probe, RetryAfter, caller_return, end_spread};
+use garnet_routing::{Probe, RetryAfter, backoff_jitter, caller_retry_delay};
 use garnet_types::{BackendId, BackendKind, Millis, ServiceId};
 
 use crate::backends::Backend;
@@ -11,7 +11,7 @@
 impl Forwarder {
     /// Takes the backoff that an answer requests.
     pub fn note_backoff(&mut self, id: &BackendId, retry_after: RetryAfter, now: Millis) {
-        let spread = end_spread(retry_after, self.gateways, self.next_draw());
+        let spread = backoff_jitter(retry_after, self.gateways, self.next_draw());
         if let Some(backend) = self.backends.get_mut(id) {
             backend
                 .availability
@@ -93,7 +93,7 @@
         if first == Millis::NEVER {
             return None;
         }
-        Some(caller_return(first, work.objective, self.next_draw()))
+        Some(caller_retry_delay(first, work.objective, self.next_draw()))
     }
 
     /// The next of draws from 0 to 1 that are spread evenly at any count.
--- a/components/forwarding/src/forwarder/beliefs.rs
+++ b/components/forwarding/src/forwarder/beliefs.rs
@@ -110,7 +110,7 @@
     /// Notes that a back end was silent for too long.
     pub fn silent(&mut self, id: &BackendId, now: Millis) {
         if let Some(backend) = self.backends.get_mut(id) {
-            backend.breaker.silent(now);
+            backend.breaker.unresponsive(now);
             self.evidence_of(id).failed += 1;
         }
     }
@@ -120,7 +120,7 @@
         if let Some(backend) = self.backends.get_mut(id) {
             // Nothing that runs refuses a connection: no second one is needed
             // to believe it.
-            backend.breaker.silent(now);
+            backend.breaker.unresponsive(now);
             self.evidence_of(id).unreachable += 1;
         }
     }
--- a/components/gateway/src/application.rs
+++ b/components/gateway/src/application.rs
@@ -1,6 +1,6 @@
 //! Calls of application services.
 
-use garnet_routing::OwnWork;
+use garnet_routing::InFlightWork;
 use garnet_types::{BackendId, Millis, OutcomeCode, RecordedResponse, Refusal, RequestId};
 
 use crate::backends::Eligible;
@@ -68,11 +68,11 @@
 
     fn dispatch_application(&mut self, id: RequestId, backend: BackendId, address: String) {
         let attempt = self.new_attempt(id, &backend);
-        let work = OwnWork {
+        let work = InFlightWork {
             prompt_tokens: 0,
             decodes: false,
             sent_at: self.now,
-            prompt_read: true,
+            prefilled: true,
         };
         self.backends.sent(&backend, attempt, work);
         let now = self.now;
--- a/components/gateway/src/backends.rs
+++ b/components/gateway/src/backends.rs
@@ -4,7 +4,7 @@
 
 use garnet_control::{BackendRecord, Configuration};
 use garnet_routing::{
-    Availability, CircuitBreaker, EngineEstimate, LoadReport, OwnWork, PrefixIndex, Probe,
+    Availability, CircuitBreaker, EngineEstimate, InFlightWork, LoadReport, PrefixIndex, Probe,
 };
 use garnet_types::{
     BackendId, BackendKind, EngineCapacity, EngineRole, Millis, ModelId, ServiceId,
@@ -120,7 +120,7 @@
             .observe(id, report.incarnation, &report.cache_events);
     }
 
-    pub(crate) fn sent(&mut self, id: &BackendId, attempt: AttemptId, work: OwnWork) {
+    pub(crate) fn sent(&mut self, id: &BackendId, attempt: AttemptId, work: InFlightWork) {
         let belief = self.belief(id);
         if let Some(probe) = belief.availability.sent(work.sent_at) {
             belief.probes.insert(attempt, probe);
--- a/components/gateway/src/completion/dispatch.rs
+++ b/components/gateway/src/completion/dispatch.rs
@@ -1,6 +1,6 @@
 //! Attempts at engines, from their start.
 
-use garnet_routing::OwnWork;
+use garnet_routing::InFlightWork;
 use garnet_types::{BackendId, RequestId};
 
 use crate::call::Work;
@@ -105,11 +105,11 @@
         let unread = shape
             .prompt_tokens
             .saturating_sub(shape.cached_tokens + shape.transferred_tokens);
-        let work = OwnWork {
+        let work = InFlightWork {
             prompt_tokens: unread,
             decodes: phase != Phase::Prefill,
             sent_at: self.now,
-            prompt_read: phase == Phase::Decode,
+            prefilled: phase == Phase::Decode,
         };
         self.backends.sent(backend, attempt, work);
         let now = self.now;
--- a/components/gateway/src/completion/mod.rs
+++ b/components/gateway/src/completion/mod.rs
@@ -138,7 +138,7 @@
             latest_start: request.deadline - generation,
         };
         if self.waiting.push(waiting).is_err() {
-            let retry_after = self.settings.admission.longest_retry_after;
+            let retry_after = self.settings.admission.max_retry_after;
             let message = "too many requests wait";
             let refusal = Refusal::not_run(OutcomeCode::Overloaded, retry_after, message);
             self.end_without_answer(id, refusal);
@@ -174,7 +174,7 @@
                     if placed.is_none() {
                         self.ask_for_any(waiting.item);
                     }
-                    self.waiting.put_back(waiting);
+                    self.waiting.push_front(waiting);
                     return;
                 }
             }
--- a/components/gateway/src/gateway/attempts.rs
+++ b/components/gateway/src/gateway/attempts.rs
@@ -52,7 +52,7 @@
 
     pub(crate) fn has_retry(&self, service: &ServiceId) -> bool {
         let budget = self.budgets.get(service);
-        budget.is_none_or(RetryBudget::has_left)
+        budget.is_none_or(RetryBudget::can_spend)
     }
 
     pub(crate) fn earn_retry(&mut self, service: &ServiceId) {
--- a/components/gateway/src/gateway/availability.rs
+++ b/components/gateway/src/gateway/availability.rs
@@ -1,7 +1,7 @@
 //! Back ends that request a backoff or report draining, and the retry time of callers
 //! whose requests no back end takes.
 
-use garnet_routing::{RetryAfter, caller_return, end_spread};
+use garnet_routing::{RetryAfter, backoff_jitter, caller_retry_delay};
 use garnet_types::{BackendId, Millis, OutcomeCode, Refusal};
 use rand::RngExt;
 
@@ -16,7 +16,7 @@
 impl Gateway {
     /// Takes the backoff that an answer requests.
     pub(super) fn request_backoff(&mut self, backend: &BackendId, retry_after: RetryAfter) {
-        let spread = end_spread(retry_after, self.gateways, self.random.random());
+        let spread = backoff_jitter(retry_after, self.gateways, self.random.random());
         if let Some(record) = self.watched.configuration.backends.get(backend) {
             let availability = self.backends.availability_of(record);
             availability.request_backoff(retry_after, spread, self.now);
@@ -34,7 +34,7 @@
     /// The refusal of a request that nobody takes for so long.
     pub(crate) fn backoff_refusal(&mut self, first: Millis) -> Refusal {
         let draw = self.random.random();
-        let retry_after = caller_return(first, LONGEST_CALLER_SPREAD, draw);
+        let retry_after = caller_retry_delay(first, LONGEST_CALLER_SPREAD, draw);
         let message = "all back ends of the service are in backoff";
         Refusal::not_run(OutcomeCode::Overloaded, retry_after, message)
     }
--- a/components/quarantine/src/crash_log.rs
+++ b/components/quarantine/src/crash_log.rs
@@ -46,7 +46,7 @@
     entries: VecDeque<Entry>,
     last_number: u64,
     confirmed: u64,
-    suspects: Suspects,
+    leader_suspects: Suspects,
     /// Requests that the configuration refuses.
     quarantined: BTreeSet<RequestFingerprint>,
 }
@@ -54,7 +54,7 @@
 impl CrashLog {
     /// Whether no request is suspected or refused, so that lookups can be skipped.
     pub fn is_empty(&self) -> bool {
-        self.entries.is_empty() && self.suspects.is_empty()
+        self.entries.is_empty() && self.leader_suspects.is_empty()
     }
 
     /// Records a run that broke off in the way in which an engine crash breaks it off.
@@ -88,12 +88,12 @@
     /// The status of a request, from the runs recorded here and the leader's suspects.
     pub fn status(&self, fingerprint: RequestFingerprint) -> QuarantineStatus {
         let engines = self.engines_of(fingerprint);
-        if self.suspects.refused.contains(&fingerprint)
+        if self.leader_suspects.refused.contains(&fingerprint)
             || self.is_certain_cause(fingerprint, &engines)
         {
             QuarantineStatus::Refused
         } else if engines.len() + 1 >= CRASH_THRESHOLD
-            || self.suspects.suspected.contains(&fingerprint)
+            || self.leader_suspects.suspected.contains(&fingerprint)
         {
             QuarantineStatus::Suspected
         } else {
@@ -146,7 +146,7 @@
         let unconfirmed = self
             .entries
             .iter()
-            .filter(|entry| entry.number > self.confirmed);
+            .filter(|ended| ended.number > self.confirmed);
         let batch: Vec<&Entry> = unconfirmed.take(MAX_RUNS_PER_REPORT).collect();
         let through = batch.last()?.number;
         let run = |entry: &&Entry| EndedRun {
@@ -183,7 +183,7 @@
 
     /// Sets the suspects that the leader published.
     pub fn update_suspects(&mut self, suspects: Suspects) {
-        self.suspects = suspects;
+        self.leader_suspects = suspects;
     }
 
     fn forget_old(&mut self, now: Millis) {
--- a/components/quarantine/tests/crashes/tracker.rs
+++ b/components/quarantine/tests/crashes/tracker.rs
@@ -31,8 +31,11 @@
 
     fn decide_after_wait(&mut self) -> Vec<RequestFingerprint> {
         self.now = self.now + REPORT_WAIT;
-        let refused = self.tracker.decide(self.now);
-        refused.iter().map(|request| request.fingerprint).collect()
+        let newly_refused = self.tracker.decide(self.now);
+        newly_refused
+            .iter()
+            .map(|refusal| refusal.fingerprint)
+            .collect()
     }
 }
 
--- a/components/routing/src/admission.rs
+++ b/components/routing/src/admission.rs
@@ -1,20 +1,20 @@
-//! Whether a request is taken now, waits, or is refused at once.
+//! Admission control: whether a request is admitted, waits at the gateway or is refused.
 
 use garnet_types::{Millis, Verdict};
 
-/// Settings of the admission.
+/// Settings of the admission control.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct AdmissionSettings {
-    /// Longest predicted time to the first token at which a request is sent to
-    /// an engine; what may wait stays with the gateway beyond it.
+    /// Longest predicted time to first token at which a request is sent to an engine. Beyond it, a
+    /// request that may wait stays at the gateway and any other one is refused.
     pub first_token_target: Millis,
-    /// Part of the deadline that the first token may take.
+    /// Fraction of the time to the deadline that the first token may take.
     pub first_token_share: f64,
-    /// Part of the predicted generation that is added for what can't be
-    /// foreseen: work that ends just too late has used its slot for nothing.
+    /// Fraction of the predicted generation time that is added as a safety margin: a request that
+    /// just misses its deadline wastes its decode slot.
     pub generation_margin: f64,
-    /// Longest time to come back that is told.
-    pub longest_retry_after: Millis,
+    /// Longest retry time that is sent to a caller.
+    pub max_retry_after: Millis,
 }
 
 impl Default for AdmissionSettings {
@@ -23,30 +23,30 @@
             first_token_target: Millis(900),
             first_token_share: 1.0,
             generation_margin: 0.15,
-            longest_retry_after: Millis::from_secs(30),
+            max_retry_after: Millis::from_secs(30),
         }
     }
 }
 
-/// The decision on one request.
+/// The admission decision for one request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Admission {
-    /// Send it to an engine.
+    /// Send the request to an engine.
     Admit,
-    /// Keep it until there is room.
+    /// Keep the request at the gateway until an engine has capacity.
     Wait,
-    /// Refuse it now; room is predicted after this time.
+    /// Refuse the request; capacity is predicted after `retry_after`.
     Refuse {
-        /// When to come back.
+        /// Time after which the caller should retry.
         retry_after: Millis,
     },
 }
 
-/// Shortest time to come back: a header counts whole seconds.
-const SHORTEST_RETRY_AFTER: Millis = Millis::from_secs(1);
+/// Shortest retry time, since the header counts whole seconds.
+const MIN_RETRY_AFTER: Millis = Millis::from_secs(1);
 
-/// Decides by the predicted time to the first token at the best engine.
-/// `remaining` is the time to the request's deadline.
+/// Decides from the predicted time to first token at the best engine. `generation` is the
+/// predicted generation time, `remaining` the time to the request's deadline.
 pub fn admit(
     predicted: Millis,
     generation: Millis,
@@ -89,8 +89,6 @@
 }
 
 fn refuse(excess: Millis, settings: &AdmissionSettings) -> Admission {
-    let retry_after = excess
-        .max(SHORTEST_RETRY_AFTER)
-        .min(settings.longest_retry_after);
+    let retry_after = excess.max(MIN_RETRY_AFTER).min(settings.max_retry_after);
     Admission::Refuse { retry_after }
 }
--- a/components/routing/src/availability.rs
+++ b/components/routing/src/availability.rs
@@ -1,20 +1,20 @@
-//! Whether one back end takes requests of one gateway, by its own reports: the backoff that
-//! it requested, and that it drains.
+//! Whether a back end takes requests of a gateway, from the back end's own reports: a requested
+//! backoff, or that it is draining.
 //!
-//! Contract: what was reported is of one start of the back end; [`Availability::reset`]
-//! forgets it at another one. Neither the list of machines nor other answers end it sooner:
-//! the list lags behind reports, and answers overtake one another.
+//! Contract: reports hold for one start of the back end; [`Availability::reset`] drops them at the
+//! next one. Neither the list of machines nor other answers end them earlier, since the list lags
+//! behind the reports and answers may arrive out of order.
 
 use garnet_types::Millis;
 
 use crate::backoff::{Backoff, Probe};
 use crate::retry_after::RetryAfter;
 
-/// Longest time that a report of draining holds: a back end whose starts are not known and
-/// that is still there has started again.
-const DRAINING_LASTS: Millis = Millis::from_secs(300);
+/// How long a report of draining holds. A back end that still exists after this time has
+/// restarted, if its starts are not reported.
+const DRAINING_REPORT_LIFETIME: Millis = Millis::from_secs(300);
 
-/// What one back end reported.
+/// The availability that one back end reported.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Availability {
     backoff: Backoff,
@@ -22,52 +22,51 @@
 }
 
 impl Availability {
-    /// Takes a request for a backoff at `now`, which ends `spread` later than requested.
-    pub fn request_backoff(&mut self, retry_after: RetryAfter, spread: Millis, now: Millis) {
-        self.backoff.request(retry_after, spread, now);
+    /// Starts a requested backoff at `now`, which ends `jitter` later than requested.
+    pub fn request_backoff(&mut self, retry_after: RetryAfter, jitter: Millis, now: Millis) {
+        self.backoff.request(retry_after, jitter, now);
     }
 
-    /// Takes a report of draining. `true` where that is new.
+    /// Records a report of draining. Returns whether the back end was not already draining.
     pub fn report_draining(&mut self, now: Millis) -> bool {
         let is_new = !self.is_draining(now);
         self.draining_since = Some(now);
         is_new
     }
 
-    /// Forgets all reports: the back end has started anew.
+    /// Drops all reports, when the back end has restarted.
     pub fn reset(&mut self) {
         self.backoff.reset();
         self.draining_since = None;
     }
 
-    /// Whether it drains.
+    /// Whether the back end is draining.
     pub fn is_draining(&self, now: Millis) -> bool {
-        let holds = |since: Millis| now.since(since) <= DRAINING_LASTS;
-        self.draining_since.is_some_and(holds)
+        let is_valid = |since: Millis| now.since(since) <= DRAINING_REPORT_LIFETIME;
+        self.draining_since.is_some_and(is_valid)
     }
 
-    /// Whether a request may be placed there.
+    /// Whether a request may be sent to the back end.
     pub fn allows(&self, now: Millis) -> bool {
         self.backoff.allows(now) && !self.is_draining(now)
     }
 
-    /// Time until the first request may be sent after a backoff; `None` where none is in
-    /// force.
+    /// Remaining time of the backoff; `None` if none is in force.
     pub fn backoff_remaining(&self, now: Millis) -> Option<Millis> {
         self.backoff.remaining(now)
     }
 
-    /// Notes a request that is sent. Gives the probe that it is during a recovery.
+    /// Records a sent request. Returns a probe if the back end is recovering.
     pub fn sent(&mut self, now: Millis) -> Option<Probe> {
         self.backoff.sent(now)
     }
 
-    /// Notes that the back end accepted a probe.
+    /// Records that the back end accepted a probe.
     pub fn accepted(&mut self, probe: Probe) {
         self.backoff.accepted(probe);
     }
 
-    /// Notes a probe that ended without a verdict of the back end.
+    /// Records a probe that ended without the back end accepting or rejecting it.
     pub fn released(&mut self, probe: Probe) {
         self.backoff.released(probe);
     }
--- a/components/routing/src/choice.rs
+++ b/components/routing/src/choice.rs
@@ -1,25 +1,25 @@
-//! The choice among engines: the better of two, by predicted first token.
+//! The choice of an engine: the better of two random ones by predicted time to first token.
 
 use garnet_types::{BackendId, Millis};
 use rand::{Rng, RngExt};
 
-/// An engine that may take the request, with its predicted cost.
+/// An engine that can take the request, with its predicted cost.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Candidate {
     /// The engine.
     pub backend: BackendId,
-    /// Predicted time to the first token there.
+    /// Predicted time to first token.
     pub predicted: Millis,
 }
 
-/// With no more engines than this, all are compared: the pairs of so few
-/// engines would often miss the one good engine, and there is no herd to fear
-/// since each gateway corrects by its own work.
-const COMPARE_ALL_UP_TO: usize = 8;
+/// Up to this number of engines, all are compared. Random pairs of so few would often miss the one
+/// good engine, and gateways don't all choose the same one since each counts its own requests in
+/// flight.
+const MAX_COMPARED_ENGINES: usize = 8;
 
-/// Picks the engine for one request, or `None` when there is no candidate.
+/// Chooses the engine for one request; `None` if there is no candidate.
 pub fn choose(candidates: &[Candidate], random: &mut impl Rng) -> Option<Candidate> {
-    if candidates.len() <= COMPARE_ALL_UP_TO {
+    if candidates.len() <= MAX_COMPARED_ENGINES {
         return best(candidates.iter());
     }
     let first = random.random_range(0..candidates.len());
--- a/components/routing/src/circuit_breaker.rs
+++ b/components/routing/src/circuit_breaker.rs
@@ -1,21 +1,21 @@
-//! Sets a failing back end aside and lets one probe through at a time.
+//! A circuit breaker: stops requests to a failing back end except for one probe at a time.
 
 use garnet_types::Millis;
 
-/// Failures in a row that open the breaker.
+/// Consecutive failures that open the breaker.
 const FAILURES_TO_OPEN: u32 = 3;
-/// First time aside; it doubles with each failed probe.
-const FIRST_PAUSE: Millis = Millis(500);
-/// Longest time aside.
-const LONGEST_PAUSE: Millis = Millis::from_secs(8);
+/// Initial time that the breaker stays open; it doubles with each failed probe.
+const INITIAL_OPEN_DURATION: Millis = Millis(500);
+/// Longest time that the breaker stays open.
+const MAX_OPEN_DURATION: Millis = Millis::from_secs(8);
 
-/// Health of one back end as its own failures show it.
+/// The circuit breaker of one back end.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct CircuitBreaker {
     failures: u32,
-    pause: Millis,
+    open_duration: Millis,
     open_until: Option<Millis>,
-    probing: bool,
+    probe_in_flight: bool,
 }
 
 impl CircuitBreaker {
@@ -23,41 +23,42 @@
     pub fn allows(&self, now: Millis) -> bool {
         match self.open_until {
             None => true,
-            Some(until) => now >= until && !self.probing,
+            Some(until) => now >= until && !self.probe_in_flight,
         }
     }
 
-    /// Notes that a request was sent; while open it is the probe.
+    /// Records a sent request, which is the probe if the breaker is open.
     pub fn sent(&mut self) {
-        self.probing = self.open_until.is_some();
+        self.probe_in_flight = self.open_until.is_some();
     }
 
-    /// Notes an answer.
+    /// Records an answer, which closes the breaker.
     pub fn succeeded(&mut self) {
         *self = CircuitBreaker::default();
     }
 
-    /// Notes that a request ended with neither an answer nor a fault of the
-    /// back end, such as a caller that left.
+    /// Records a request that ended without an answer or a failure of the back end, for example
+    /// because the caller disconnected.
     pub fn released(&mut self) {
-        self.probing = false;
+        self.probe_in_flight = false;
     }
 
-    /// Notes that it was silent for so long that nobody else should wait for
-    /// it: a fault that needs no repetition to be believed.
-    pub fn silent(&mut self, now: Millis) {
+    /// Records that the back end was silent for so long that other requests should not wait for it.
+    /// This opens the breaker without further failures.
+    pub fn unresponsive(&mut self, now: Millis) {
         self.failures = self.failures.max(FAILURES_TO_OPEN - 1);
         self.failed(now);
     }
 
-    /// Notes a failure to connect or a broken answer.
+    /// Records a failure to connect or an answer that broke off.
     pub fn failed(&mut self, now: Millis) {
         self.failures += 1;
-        self.probing = false;
+        self.probe_in_flight = false;
         if self.failures < FAILURES_TO_OPEN {
             return;
         }
-        self.pause = (self.pause + self.pause).clamp(FIRST_PAUSE, LONGEST_PAUSE);
-        self.open_until = Some(now + self.pause);
+        self.open_duration = (self.open_duration + self.open_duration)
+            .clamp(INITIAL_OPEN_DURATION, MAX_OPEN_DURATION);
+        self.open_until = Some(now + self.open_duration);
     }
 }
--- a/components/routing/src/lib.rs
+++ b/components/routing/src/lib.rs
@@ -1,10 +1,8 @@
-//! Routing and limits: which engine takes a request, and which requests are
-//! taken at all.
+//! Routing and admission: which engine takes a request, and which requests are admitted.
 //!
-//! Contract: state is updated by explicit events (reports, dispatches, ends);
-//! the cost of an engine is a pure function over a snapshot ([`cost`]), and the
-//! choice is a pure function over costs ([`choice`]). No clock, no I/O; random
-//! numbers come from a seeded generator.
+//! Contract: state is updated by explicit events (reports, dispatches, ends). The cost of an
+//! engine is a pure function of a snapshot ([`cost`]), and the choice is a pure function of costs
+//! ([`choice`]). No clock, no I/O; random numbers come from a seeded generator.
 
 pub mod admission;
 pub mod availability;
@@ -23,11 +21,11 @@
 
 pub use admission::{Admission, AdmissionSettings, admit};
 pub use availability::Availability;
-pub use backoff::{Backoff, Probe, caller_return, end_spread};
+pub use backoff::{Backoff, Probe, backoff_jitter, caller_retry_delay};
 pub use choice::{Candidate, choose};
 pub use circuit_breaker::CircuitBreaker;
 pub use cost::{EngineSnapshot, WorkShape, predict_first_token};
-pub use estimate::{EngineEstimate, OwnWork};
+pub use estimate::{EngineEstimate, InFlightWork};
 pub use prefix_index::{CacheEvent, PrefixIndex, block_hashes};
 pub use recent_set::RecentSet;
 pub use report::LoadReport;
--- a/components/routing/src/prefix_index.rs
+++ b/components/routing/src/prefix_index.rs
@@ -1,34 +1,34 @@
-//! Which engine is believed to hold the KV cache of which prompt prefix.
+//! An estimate of which engine holds the KV cache of which prompt prefixes.
 //!
-//! Prompts are cut into blocks; each block's hash covers all blocks before it,
-//! so one hash names a whole prefix. Engines publish cache events late and
-//! with gaps. After a gap everything believed of that engine is dropped: a
-//! forgotten prefix costs time, a wrong belief costs a misrouted request.
+//! Prompts are split into blocks. The hash of a block covers all blocks before it, so that one hash
+//! identifies a prefix. Engines publish cache events with delays and gaps. After a gap all blocks of
+//! the engine are dropped: a missing prefix costs time, a wrong one costs a misrouted request.
 
 use std::collections::{BTreeMap, HashSet, VecDeque};
 
 use garnet_types::BackendId;
 use serde::{Deserialize, Serialize};
 
-/// Words of one block. One word counts as one token throughout.
+/// Tokens of one block. One word counts as one token throughout.
 pub const BLOCK_TOKENS: usize = 64;
-/// Most blocks believed of one engine; the oldest are forgotten first.
-pub const MOST_BLOCKS_PER_ENGINE: usize = 16 * 1024;
-/// Most blocks believed of all engines together, which share it evenly: what
-/// keeps the index of a large fleet within some 15 MB.
-pub const MOST_BLOCKS: usize = 384 * 1024;
+/// Maximum number of blocks of one engine; the oldest are dropped first.
+pub const MAX_BLOCKS_PER_ENGINE: usize = 16 * 1024;
+/// Maximum number of blocks of all engines together, divided evenly among them. It keeps the index
+/// of a large fleet within some 15 MB.
+pub const MAX_BLOCKS: usize = 384 * 1024;
 
 /// One change of an engine's prefix cache.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheEvent {
-    /// Counts up by one for each event of an incarnation.
+    /// Increases by one with each event of an incarnation.
     pub sequence: u64,
     /// Hash of the prefix that ends with the block.
     pub block: u64,
-    /// Whether the block is now held; else it was evicted.
+    /// Whether the block was stored; otherwise it was evicted.
     pub stored: bool,
 }
 
+/// The blocks that one engine is estimated to hold.
 #[derive(Debug, Default)]
 struct EngineBlocks {
     incarnation: u64,
@@ -37,73 +37,76 @@
     order: VecDeque<u64>,
 }
 
-/// Beliefs about all engines.
+/// The estimated prefix caches of all engines.
 #[derive(Debug, Default)]
 pub struct PrefixIndex {
     engines: BTreeMap<BackendId, EngineBlocks>,
-    /// Times that an engine's beliefs were dropped for a gap.
+    /// Number of times that an engine's blocks were dropped after a gap.
     pub gaps: u64,
 }
 
 impl PrefixIndex {
-    /// Takes events of one engine, in order.
+    /// Applies events of one engine, in order.
     pub fn observe(&mut self, engine: &BackendId, incarnation: u64, events: &[CacheEvent]) {
-        let known = self.engines.entry(engine.clone()).or_default();
-        if known.incarnation != incarnation {
-            *known = EngineBlocks {
+        let engine_blocks = self.engines.entry(engine.clone()).or_default();
+        if engine_blocks.incarnation != incarnation {
+            *engine_blocks = EngineBlocks {
                 incarnation,
                 ..EngineBlocks::default()
             };
         }
         for event in events {
-            let expected = known.next_sequence.unwrap_or(event.sequence);
+            let expected = engine_blocks.next_sequence.unwrap_or(event.sequence);
             if event.sequence < expected {
                 continue;
             }
             if event.sequence > expected {
-                known.blocks.clear();
-                known.order.clear();
+                engine_blocks.blocks.clear();
+                engine_blocks.order.clear();
                 self.gaps += 1;
             }
-            known.next_sequence = Some(event.sequence + 1);
-            known.apply(event);
+            engine_blocks.next_sequence = Some(event.sequence + 1);
+            engine_blocks.apply(event);
         }
-        let share = self.blocks_per_engine();
-        if let Some(known) = self.engines.get_mut(engine) {
-            known.shrink_to(share);
+        let max_blocks = self.blocks_per_engine();
+        if let Some(engine_blocks) = self.engines.get_mut(engine) {
+            engine_blocks.shrink_to(max_blocks);
         }
     }
 
-    /// Blocks that are believed of all engines.
+    /// Number of blocks of all engines.
     pub fn len(&self) -> usize {
-        self.engines.values().map(|known| known.blocks.len()).sum()
+        self.engines
+            .values()
+            .map(|engine_blocks| engine_blocks.blocks.len())
+            .sum()
     }
 
-    /// Whether nothing is believed of any engine.
+    /// Whether the index has no blocks.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
     fn blocks_per_engine(&self) -> usize {
-        let share = MOST_BLOCKS / self.engines.len().max(1);
-        share.min(MOST_BLOCKS_PER_ENGINE)
+        let max_blocks = MAX_BLOCKS / self.engines.len().max(1);
+        max_blocks.min(MAX_BLOCKS_PER_ENGINE)
     }
 
-    /// Drops everything believed of an engine.
+    /// Drops all blocks of an engine.
     pub fn forget(&mut self, engine: &BackendId) {
         self.engines.remove(engine);
     }
 
-    /// Tokens of the prompt's prefix that the engine is believed to hold.
+    /// Number of tokens of the prompt's prefix that the engine is estimated to hold.
     pub fn cached_tokens(&self, engine: &BackendId, prompt_blocks: &[u64]) -> u64 {
-        let Some(known) = self.engines.get(engine) else {
+        let Some(engine_blocks) = self.engines.get(engine) else {
             return 0;
         };
-        let held = prompt_blocks
+        let cached_blocks = prompt_blocks
             .iter()
-            .take_while(|block| known.blocks.contains(*block))
+            .take_while(|block| engine_blocks.blocks.contains(*block))
             .count();
-        (held * BLOCK_TOKENS) as u64
+        (cached_blocks * BLOCK_TOKENS) as u64
     }
 }
 
@@ -118,22 +121,21 @@
         }
     }
 
-    /// Forgets the oldest blocks beyond a count, and gives their memory back
-    /// when they were many.
-    fn shrink_to(&mut self, most: usize) {
-        while self.order.len() > most {
+    /// Drops the oldest blocks beyond `max_len`, and frees memory if there were many.
+    fn shrink_to(&mut self, max_len: usize) {
+        while self.order.len() > max_len {
             if let Some(oldest) = self.order.pop_front() {
                 self.blocks.remove(&oldest);
             }
         }
-        if self.order.capacity() > 4 * most {
-            self.order.shrink_to(2 * most);
-            self.blocks.shrink_to(2 * most);
+        if self.order.capacity() > 4 * max_len {
+            self.order.shrink_to(2 * max_len);
+            self.blocks.shrink_to(2 * max_len);
         }
     }
 }
 
-/// Hashes of the whole blocks of a prompt, each covering all before it.
+/// Hashes of the complete blocks of a prompt, each covering all blocks before it.
 pub fn block_hashes(prompt: &str) -> Vec<u64> {
     let mut hashes = Vec::new();
     let mut hash = 0xcbf2_9ce4_8422_2325_u64;
--- a/components/routing/src/recent_set.rs
+++ b/components/routing/src/recent_set.rs
@@ -1,49 +1,49 @@
-//! A bounded set of what was seen lately.
+//! A bounded set of recent hashes.
 
 use std::collections::HashSet;
 
 use garnet_types::Millis;
 
-/// Hashes seen within the last one to two windows.
+/// Hashes that were added within the last one to two windows.
 #[derive(Debug, Clone)]
 pub struct RecentSet {
     current: HashSet<u64>,
     previous: HashSet<u64>,
-    turned_at: Millis,
+    rotated_at: Millis,
     window: Millis,
-    most: usize,
+    max_len: usize,
 }
 
 impl RecentSet {
-    /// An empty set that remembers for at least `window`, unless more than
-    /// `most` hashes come within it.
-    pub fn new(window: Millis, most: usize) -> Self {
+    /// Creates an empty set that keeps a hash for at least `window`, unless more than `max_len`
+    /// hashes are added within it.
+    pub fn new(window: Millis, max_len: usize) -> Self {
         RecentSet {
             current: HashSet::new(),
             previous: HashSet::new(),
-            turned_at: Millis::ZERO,
+            rotated_at: Millis::ZERO,
             window,
-            most,
+            max_len,
         }
     }
 
-    /// Remembers a hash.
+    /// Adds a hash.
     pub fn insert(&mut self, hash: u64, now: Millis) {
-        self.turn(now);
+        self.rotate(now);
         self.current.insert(hash);
     }
 
-    /// Whether a hash was remembered lately.
+    /// Whether a hash was added recently.
     pub fn contains(&mut self, hash: u64, now: Millis) -> bool {
-        self.turn(now);
+        self.rotate(now);
         self.current.contains(&hash) || self.previous.contains(&hash)
     }
 
-    fn turn(&mut self, now: Millis) {
-        let over = now.since(self.turned_at) >= self.window;
-        if over || self.current.len() >= self.most {
+    fn rotate(&mut self, now: Millis) {
+        let expired = now.since(self.rotated_at) >= self.window;
+        if expired || self.current.len() >= self.max_len {
             self.previous = std::mem::take(&mut self.current);
-            self.turned_at = now;
+            self.rotated_at = now;
         }
     }
 }
--- a/components/routing/src/report.rs
+++ b/components/routing/src/report.rs
@@ -1,4 +1,4 @@
-//! What an engine says of its load. A report is old when it arrives.
+//! Load reports of engines. Their figures are already old on arrival.
 
 use garnet_types::{EngineCapacity, EngineRole};
 use serde::{Deserialize, Serialize};
@@ -8,20 +8,20 @@
 /// One load report of an engine.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// Differs for each start of the engine.
+    /// Distinguishes the starts of the engine.
     pub incarnation: u64,
-    /// Role it really has.
+    /// Actual role of the engine.
     pub role: EngineRole,
-    /// Whether it takes new work.
+    /// Whether the engine accepts new work.
     pub accepting: bool,
-    /// Prompt tokens that wait to be read.
+    /// Prompt tokens that wait to be prefilled.
     pub queued_prompt_tokens: u64,
-    /// Requests that generate, or wait to.
+    /// Requests that are being decoded or wait for it.
     pub active_sequences: u64,
-    /// How long ago the figures were taken, in milliseconds.
+    /// Age of the figures, in milliseconds.
     pub age_ms: u64,
-    /// Its speed.
+    /// Speed of the engine.
     pub capacity: EngineCapacity,
-    /// Changes of its prefix cache since the last ones this reader got.
+    /// Changes of the prefix cache since the last report to this receiver.
     pub cache_events: Vec<CacheEvent>,
 }
--- a/components/routing/src/retry_after.rs
+++ b/components/routing/src/retry_after.rs
@@ -1,4 +1,4 @@
-//! Parsing of `Retry-After`.
+//! The `Retry-After` header.
 
 use std::fmt;
 use std::str::FromStr;
@@ -8,14 +8,14 @@
 use garnet_types::{Decimal, Millis};
 use thiserror::Error;
 
-/// Digits of a fraction of a second that are milliseconds.
+/// Decimal places of a second that count as milliseconds.
 const MILLIS_DIGITS: usize = 3;
 
-/// How long a back end asks to be sent nothing.
+/// Time for which a back end asks to be sent nothing.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RetryAfter(Millis);
 
-/// Why a value is no `Retry-After`.
+/// Why a value is not a `Retry-After`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display, Error)]
 pub enum RetryAfterError {
     /// it is neither a number of seconds nor an HTTP date
@@ -25,39 +25,39 @@
 }
 
 impl RetryAfter {
-    /// A span of its own.
+    /// Creates a value from a time span.
     pub const fn new(span: Millis) -> Self {
         RetryAfter(span)
     }
 
-    /// The span.
+    /// The time span.
     pub const fn span(self) -> Millis {
         self.0
     }
 
-    /// The longest of the values of one answer, whose `Date` is `date`. Those that can't
-    /// be read are handed to `unreadable` and count for nothing.
+    /// The longest of the values of one answer, whose `Date` is `date`. Invalid values are passed to
+    /// `on_invalid` and ignored.
     pub fn longest<V: AsRef<[u8]>>(
         values: impl IntoIterator<Item = V>,
         date: Option<&[u8]>,
-        mut unreadable: impl FnMut(V, RetryAfterError),
+        mut on_invalid: impl FnMut(V, RetryAfterError),
     ) -> Option<Self> {
-        let read = |value: V| match RetryAfter::parse(value.as_ref(), date) {
+        let parse = |value: V| match RetryAfter::parse(value.as_ref(), date) {
             Ok(retry_after) => Some(retry_after),
             Err(error) => {
-                unreadable(value, error);
+                on_invalid(value, error);
                 None
             }
         };
-        values.into_iter().filter_map(read).max()
+        values.into_iter().filter_map(parse).max()
     }
 
-    /// Reads one value of the header: seconds, with or without a fraction, or an
-    /// HTTP date. A date counts from `date`, the `Date` of the same answer, since the
-    /// clocks of two machines may differ by more than the span.
+    /// Parses one value of the header: seconds, with or without a fraction, or an HTTP date. A date
+    /// is compared with `date`, the `Date` of the same answer, since the clocks of two machines may
+    /// differ by more than the span.
     ///
     /// # Errors
-    /// As [`RetryAfterError`] says.
+    /// If the value is malformed, or is a date while the answer has no valid `Date`.
     pub fn parse(value: &[u8], date: Option<&[u8]>) -> Result<Self, RetryAfterError> {
         let text = std::str::from_utf8(value).map_err(|_| RetryAfterError::Malformed)?;
         if let Some(span) = decimal_seconds(text) {
@@ -81,13 +81,13 @@
 impl FromStr for RetryAfter {
     type Err = RetryAfterError;
 
-    /// Reads a number of seconds; a date needs the answer that it came with.
+    /// Parses a number of seconds; a date can only be parsed with the answer that it came with.
     fn from_str(text: &str) -> Result<Self, RetryAfterError> {
         RetryAfter::parse(text.as_bytes(), None)
     }
 }
 
-/// Rounded up to whole milliseconds.
+/// Parses a decimal number of seconds, rounded up to whole milliseconds.
 fn decimal_seconds(text: &str) -> Option<Millis> {
     let decimal = Decimal::parse(text, MILLIS_DIGITS)?;
     Some(Millis(decimal.parts) + Millis(u64::from(decimal.is_cut)))
--- a/components/routing/src/retry_budget.rs
+++ b/components/routing/src/retry_budget.rs
@@ -1,13 +1,13 @@
-//! A bound on retries, so that a failing service is not flooded by them.
+//! A retry budget, so that retries don't overload a failing service.
 
-/// Retries that each first attempt earns.
-const EARNED_PER_ATTEMPT: f64 = 0.2;
-/// Most retries that can be saved up.
-const MOST_SAVED: f64 = 20.0;
-/// Retries that a quiet service starts with.
-const INITIAL: f64 = 5.0;
+/// Retries that each first attempt adds to the budget.
+const RETRIES_PER_ATTEMPT: f64 = 0.2;
+/// Maximum number of retries in the budget.
+const MAX_RETRIES: f64 = 20.0;
+/// Initial retries of a service.
+const INITIAL_RETRIES: f64 = 5.0;
 
-/// The retries that a service may still use.
+/// The retries that are left for a service.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RetryBudget {
     available: f64,
@@ -15,24 +15,26 @@
 
 impl Default for RetryBudget {
     fn default() -> Self {
-        RetryBudget { available: INITIAL }
+        RetryBudget {
+            available: INITIAL_RETRIES,
+        }
     }
 }
 
 impl RetryBudget {
-    /// Notes a first attempt.
+    /// Records a first attempt, which adds to the budget.
     pub fn earn(&mut self) {
-        self.available = (self.available + EARNED_PER_ATTEMPT).min(MOST_SAVED);
+        self.available = (self.available + RETRIES_PER_ATTEMPT).min(MAX_RETRIES);
     }
 
     /// Whether a retry is left.
-    pub fn has_left(&self) -> bool {
+    pub fn can_spend(&self) -> bool {
         self.available >= 1.0
     }
 
-    /// Takes one retry; `false` when none is left.
+    /// Takes one retry from the budget; returns `false` if none is left.
     pub fn spend(&mut self) -> bool {
-        let allowed = self.has_left();
+        let allowed = self.can_spend();
         if allowed {
             self.available -= 1.0;
         }
--- a/components/routing/src/token_bucket.rs
+++ b/components/routing/src/token_bucket.rs
@@ -1,8 +1,8 @@
-//! A tenant's allowance, as a token bucket.
+//! The token bucket of a tenant's rate limit.
 
 use garnet_types::Millis;
 
-/// How many seconds of allowance may be saved up.
+/// Capacity of a bucket, in seconds of its rate.
 const BURST_SECONDS: f64 = 10.0;
 
 /// Tokens that a tenant may use now, refilled at a steady rate.
@@ -14,7 +14,7 @@
 }
 
 impl TokenBucket {
-    /// A full bucket that refills at `rate` tokens a second.
+    /// Creates a full bucket that refills at `rate` tokens a second.
     pub fn new(rate: f64, now: Millis) -> Self {
         TokenBucket {
             available: rate * BURST_SECONDS,
@@ -23,11 +23,11 @@
         }
     }
 
-    /// Takes `tokens` out, or says how long until they would be there. A
-    /// request larger than the whole bucket is let through when it is full.
+    /// Takes `tokens` out of the bucket, which refills at `rate` from now on. A request larger than
+    /// the capacity is admitted when the bucket is full.
     ///
     /// # Errors
-    /// The time to come back, when the allowance is used up.
+    /// If there are too few tokens, the time until there are enough.
     pub fn take(&mut self, tokens: f64, rate: f64, now: Millis) -> Result<(), Millis> {
         self.refill(rate, now);
         let needed = tokens.min(self.rate * BURST_SECONDS);
@@ -39,24 +39,24 @@
         Err(Millis((missing / self.rate * 1000.0).ceil() as u64))
     }
 
-    /// Gives tokens back that were taken and not used.
-    pub fn give_back(&mut self, tokens: f64) {
+    /// Returns tokens that were taken and not used.
+    pub fn refund(&mut self, tokens: f64) {
         self.available = (self.available + tokens).min(self.rate * BURST_SECONDS);
     }
 
-    /// Whether the bucket is full: a new one would be no different.
+    /// Whether the bucket is full, and thus equal to a new one.
     pub fn is_full(&self, now: Millis) -> bool {
-        self.available + self.gained(now) >= self.rate * BURST_SECONDS
+        self.available + self.refilled(now) >= self.rate * BURST_SECONDS
     }
 
-    fn gained(&self, now: Millis) -> f64 {
+    fn refilled(&self, now: Millis) -> f64 {
         now.since(self.refilled_at).as_secs_f64() * self.rate
     }
 
     fn refill(&mut self, rate: f64, now: Millis) {
-        let gained = self.gained(now);
+        let refilled = self.refilled(now);
         self.rate = rate;
-        self.available = (self.available + gained).min(rate * BURST_SECONDS);
+        self.available = (self.available + refilled).min(rate * BURST_SECONDS);
         self.refilled_at = now.max(self.refilled_at);
     }
 }
--- a/components/routing/src/waiting.rs
+++ b/components/routing/src/waiting.rs
@@ -1,4 +1,4 @@
-//! Requests that wait at a gateway for room, bounded, urgent ones first.
+//! The bounded queue of requests that wait at a gateway, ordered by class.
 
 use std::collections::VecDeque;
 
@@ -9,19 +9,19 @@
 pub struct Waiting<T> {
     /// The request.
     pub item: T,
-    /// Its class.
+    /// Class of the request.
     pub class: Class,
-    /// When it began to wait.
+    /// When the request began to wait.
     pub since: Millis,
-    /// Latest useful moment to be sent to an engine.
+    /// Latest time at which sending the request to an engine is useful.
     pub latest_start: Millis,
 }
 
-/// After so long, a request is served as if it were of the next class above:
-/// work that yields is not starved without bound.
+/// Waiting time after which a request is treated as one of the next higher class, so that requests
+/// of a lower class don't starve.
 const PROMOTE_AFTER: Millis = Millis::from_secs(20);
 
-/// The queue of a gateway.
+/// The queue of waiting requests.
 #[derive(Debug, Clone)]
 pub struct WaitingQueue<T> {
     entries: VecDeque<Waiting<T>>,
@@ -29,7 +29,7 @@
 }
 
 impl<T> WaitingQueue<T> {
-    /// An empty queue of at most `capacity` requests.
+    /// Creates an empty queue of at most `capacity` requests.
     pub fn new(capacity: usize) -> Self {
         WaitingQueue {
             entries: VecDeque::new(),
@@ -40,7 +40,7 @@
     /// Adds a request at the end.
     ///
     /// # Errors
-    /// Gives it back when the queue is full.
+    /// If the queue is full; returns the request.
     pub fn push(&mut self, waiting: Waiting<T>) -> Result<(), Waiting<T>> {
         if self.entries.len() >= self.capacity {
             return Err(waiting);
@@ -49,17 +49,17 @@
         Ok(())
     }
 
-    /// Requests that wait.
+    /// Number of waiting requests.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether none waits.
+    /// Whether no request waits.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Takes out every request whose latest start has passed.
+    /// Removes and returns the requests whose latest start has passed.
     pub fn take_expired(&mut self, now: Millis) -> Vec<Waiting<T>> {
         let mut expired = Vec::new();
         let mut kept = VecDeque::new();
@@ -74,23 +74,23 @@
         expired
     }
 
-    /// Takes out the request to serve next.
+    /// Removes and returns the request to serve next.
     pub fn pop(&mut self, now: Millis) -> Option<Waiting<T>> {
         let position = self
             .entries
             .iter()
             .enumerate()
-            .min_by_key(|(position, waiting)| (rank(waiting, now), *position))
+            .min_by_key(|(position, waiting)| (promoted_class(waiting, now), *position))
             .map(|(position, _)| position)?;
         self.entries.remove(position)
     }
 
-    /// Puts a request back to the front of its class.
-    pub fn put_back(&mut self, waiting: Waiting<T>) {
+    /// Returns a request to the front of its class.
+    pub fn push_front(&mut self, waiting: Waiting<T>) {
         self.entries.push_front(waiting);
     }
 
-    /// Takes out the first request that `matches`.
+    /// Removes and returns the first request that `matches`.
     pub fn remove(&mut self, matches: impl Fn(&T) -> bool) -> Option<Waiting<T>> {
         let position = self
             .entries
@@ -100,8 +100,8 @@
     }
 }
 
-/// Rank of service: the class, less one for each promotion.
-fn rank<T>(waiting: &Waiting<T>, now: Millis) -> u64 {
+/// The class by which a request is served: its own, raised by one for each promotion.
+fn promoted_class<T>(waiting: &Waiting<T>, now: Millis) -> u64 {
     let promotions = now.since(waiting.since).0 / PROMOTE_AFTER.0;
     (waiting.class as u64).saturating_sub(promotions)
 }
--- a/components/routing/tests/parts/backoff.rs
+++ b/components/routing/tests/parts/backoff.rs
@@ -1,4 +1,4 @@
-//! Backoffs that back ends request, and the recovery after them.
+//! Requested backoffs and the recovery after them.
 
 use garnet_routing::{Backoff, Probe, RetryAfter};
 use garnet_types::Millis;
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn nothing_is_allowed_until_its_end() {
+fn nothing_is_sent_during_a_backoff() {
     let backoff = requested(3_000, 1_000);
     assert!(!backoff.allows(Millis(1_000)) && !backoff.allows(Millis(3_999)));
     assert_eq!(backoff.remaining(Millis(1_500)), Some(Millis(2_500)));
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn a_shorter_request_does_not_end_a_longer_one() {
+fn a_shorter_backoff_does_not_end_a_longer_one() {
     let mut backoff = requested(3_000, 1_000);
     backoff.request(RetryAfter::new(Millis(500)), Millis::ZERO, Millis(1_100));
     assert_eq!(backoff.remaining(Millis(1_100)), Some(Millis(2_900)));
@@ -38,12 +38,12 @@
 }
 
 #[test]
-fn a_request_for_no_time_changes_nothing() {
+fn a_zero_backoff_changes_nothing() {
     assert_eq!(requested(0, 1_000), Backoff::default());
 }
 
 #[test]
-fn a_span_without_an_end_is_kept_until_a_reset() {
+fn the_longest_backoff_lasts_until_a_reset() {
     let mut backoff = requested(u64::MAX, 1_000);
     assert!(!backoff.allows(Millis(u64::MAX - 1)));
     backoff.reset();
@@ -51,26 +51,26 @@
 }
 
 #[test]
-fn after_its_end_one_request_is_sent_and_each_answer_lets_one_more_follow() {
+fn each_answer_of_a_recovery_widens_the_window() {
     let mut backoff = requested(1_000, 0);
     let first = probe(&mut backoff, 1_000);
-    assert!(!backoff.allows(Millis(1_000)), "one is under way");
+    assert!(!backoff.allows(Millis(1_000)), "one is in flight");
     backoff.accepted(first);
     let second = probe(&mut backoff, 1_010);
     let third = probe(&mut backoff, 1_010);
-    assert!(!backoff.allows(Millis(1_010)), "two are under way");
+    assert!(!backoff.allows(Millis(1_010)), "two are in flight");
     backoff.accepted(second);
     backoff.released(third);
     let probes: Vec<Probe> = (0..3).map(|_| probe(&mut backoff, 1_020)).collect();
-    assert!(!backoff.allows(Millis(1_020)), "three are under way");
+    assert!(!backoff.allows(Millis(1_020)), "three are in flight");
     for one in probes {
         backoff.accepted(one);
     }
 }
 
-/// A caller that leaves says nothing of the back end; its probe is free again.
+/// A caller that disconnects gives no evidence about the back end; another probe may be sent.
 #[test]
-fn a_probe_without_a_verdict_lets_another_one_follow() {
+fn a_released_probe_allows_another_one() {
     let mut backoff = requested(1_000, 0);
     let first = probe(&mut backoff, 1_000);
     backoff.released(first);
@@ -79,20 +79,23 @@
 }
 
 #[test]
-fn a_request_for_a_backoff_ends_the_recovery_and_its_probes_count_no_more() {
+fn a_new_backoff_ends_the_recovery_and_its_probes() {
     let mut backoff = requested(1_000, 0);
     let first = probe(&mut backoff, 1_000);
     backoff.request(RetryAfter::new(Millis(2_000)), Millis::ZERO, Millis(1_010));
     assert!(!backoff.allows(Millis(3_009)));
     let next = probe(&mut backoff, 3_010);
     backoff.accepted(first);
-    assert!(!backoff.allows(Millis(3_010)), "an answer of before counts");
+    assert!(
+        !backoff.allows(Millis(3_010)),
+        "an answer to an earlier probe counts"
+    );
     backoff.accepted(next);
     assert!(backoff.allows(Millis(3_010)));
 }
 
 #[test]
-fn a_back_end_that_answers_on_has_recovered() {
+fn a_back_end_that_keeps_answering_recovers() {
     let mut backoff = requested(1_000, 0);
     for answered in 0..15 {
         let next = probe(&mut backoff, 1_000 + answered);
@@ -102,7 +105,7 @@
     assert!((0..100).all(|_| backoff.allows(Millis(1_100))));
 }
 
-/// What happens to a backoff.
+/// An operation on a backoff.
 #[derive(Debug, Clone)]
 enum Step {
     Request(u64),
@@ -126,8 +129,8 @@
 }
 
 proptest! {
-    /// Whatever else happens: nothing is allowed before the latest end that was
-    /// requested since the last reset, and it is not withheld for ever after.
+    /// No sequence of operations allows a request before the latest end that was requested since
+    /// the last reset, or blocks requests for ever after it.
     #[test]
     fn no_step_shortens_a_backoff(steps in proptest::collection::vec(step(), 1..200)) {
         let mut backoff = Backoff::default();
--- a/components/routing/tests/parts/choice.rs
+++ b/components/routing/tests/parts/choice.rs
@@ -1,7 +1,7 @@
-//! Cost and choice of an engine, and the belief it rests on.
+//! Cost and choice of an engine, and the load estimate behind them.
 
 use garnet_routing::{
-    Candidate, EngineEstimate, LoadReport, OwnWork, WorkShape, choose, predict_first_token,
+    Candidate, EngineEstimate, InFlightWork, LoadReport, WorkShape, choose, predict_first_token,
 };
 use garnet_types::{BackendId, EngineCapacity, EngineRole, Millis};
 use rand::SeedableRng;
@@ -40,7 +40,7 @@
 // transferred tokens.
 #[rstest]
 #[case::idle(0, 0, WorkShape { prompt_tokens: 1000, ..WorkShape::default() }, 125)]
-#[case::queue(2000, 0, WorkShape { prompt_tokens: 1000, ..WorkShape::default() }, 325)]
+#[case::queued_prompts(2000, 0, WorkShape { prompt_tokens: 1000, ..WorkShape::default() }, 325)]
 #[case::cached(0, 0, WorkShape { prompt_tokens: 1000, cached_tokens: 640, ..WorkShape::default() }, 61)]
 #[case::transferred(0, 0, WorkShape { prompt_tokens: 1000, transferred_tokens: 1000, ..WorkShape::default() }, 29)]
 #[case::full_slots(0, 16, WorkShape { output_tokens: 64, ..WorkShape::default() }, 125)]
@@ -52,20 +52,20 @@
 ) {
     let mut estimate = EngineEstimate::<u64>::default();
     estimate.observe(&report(queued, active), Millis(1000));
-    let described = Millis(700);
-    let predicted = predict_first_token(&estimate.snapshot(described), &work);
+    let measured_at = Millis(700);
+    let predicted = predict_first_token(&estimate.snapshot(measured_at), &work);
     assert_eq!(predicted, Millis(expected));
 }
 
-/// A late report must not make an engine look idle to which work was just sent.
+/// An old report must not make an engine look idle that was just sent work.
 #[test]
-fn own_work_that_a_report_can_not_contain_counts() {
+fn own_work_sent_after_a_report_counts() {
     let mut estimate = EngineEstimate::<u64>::default();
-    let own = OwnWork {
+    let own = InFlightWork {
         prompt_tokens: 5000,
         decodes: true,
         sent_at: Millis(900),
-        prompt_read: false,
+        prefilled: false,
     };
     estimate.sent(1, own);
     estimate.sent(2, own);
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn a_report_older_than_the_last_is_ignored() {
+fn a_report_older_than_the_last_one_is_ignored() {
     let mut estimate = EngineEstimate::<u64>::default();
     estimate.observe(&report(8000, 3), Millis(2000));
     estimate.observe(&report(0, 0), Millis(1500));
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn among_few_engines_the_best_is_taken() {
+fn the_best_of_few_engines_is_chosen() {
     let mut random = Pcg64Mcg::seed_from_u64(1);
     let candidates = [candidate(0, 40), candidate(1, 10), candidate(2, 20)];
     let chosen = choose(&candidates, &mut random).map(|one| one.backend);
@@ -95,9 +95,10 @@
     assert_eq!(choose(&[], &mut random), None);
 }
 
-/// Two choices: no herd at the one idle-looking engine, and never the worst.
+/// The better of two random engines: choices don't concentrate on one engine that looks idle, and
+/// never fall on the worst.
 #[test]
-fn among_many_engines_choices_spread_and_avoid_the_worst() {
+fn choices_among_many_engines_spread_and_avoid_the_worst() {
     let mut random = Pcg64Mcg::seed_from_u64(1);
     let candidates: Vec<Candidate> = (0..50).map(|number| candidate(number, number)).collect();
     let mut taken = [0_u32; 50];
--- a/components/routing/tests/parts/limits.rs
+++ b/components/routing/tests/parts/limits.rs
@@ -4,7 +4,7 @@
 use garnet_types::Millis;
 
 #[test]
-fn a_bucket_says_truthfully_when_to_come_back() {
+fn a_bucket_has_enough_tokens_after_its_retry_time() {
     let mut bucket = TokenBucket::new(100.0, Millis(0));
     assert_eq!(bucket.take(1000.0, 100.0, Millis(0)), Ok(()));
     let retry_after = bucket
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn a_request_larger_than_the_bucket_passes_when_it_is_full() {
+fn a_request_larger_than_the_bucket_is_admitted_when_it_is_full() {
     let mut bucket = TokenBucket::new(100.0, Millis(0));
     assert_eq!(bucket.take(5000.0, 100.0, Millis(0)), Ok(()));
     let retry_after = bucket
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn a_changed_rate_counts_from_now_on() {
+fn a_changed_rate_applies_from_now_on() {
     let mut bucket = TokenBucket::new(100.0, Millis(0));
     bucket.take(1000.0, 100.0, Millis(0)).expect("it was full");
     assert_eq!(bucket.take(100.0, 10.0, Millis(1000)), Ok(()));
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn a_full_bucket_says_so() {
+fn a_bucket_refills_until_it_is_full() {
     let mut bucket = TokenBucket::new(100.0, Millis(0));
     bucket.take(50.0, 100.0, Millis(0)).expect("it was full");
     assert!(!bucket.is_full(Millis(499)));
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn retries_are_a_share_of_the_first_attempts() {
+fn retries_are_a_fraction_of_the_first_attempts() {
     let mut budget = RetryBudget::default();
     while budget.spend() {}
     for _ in 0..100 {
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn a_breaker_opens_probes_once_and_closes() {
+fn a_breaker_opens_allows_one_probe_and_closes() {
     let mut breaker = CircuitBreaker::default();
     for _ in 0..3 {
         assert!(breaker.allows(Millis(0)));
@@ -67,7 +67,7 @@
     breaker.sent();
     assert!(!breaker.allows(Millis(500)), "one probe at a time");
     breaker.failed(Millis(500));
-    assert!(!breaker.allows(Millis(1499)), "the pause doubles");
+    assert!(!breaker.allows(Millis(1499)), "the open duration doubles");
     assert!(breaker.allows(Millis(1500)));
     breaker.sent();
     breaker.succeeded();
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn a_probe_that_ends_without_a_verdict_makes_room_for_the_next() {
+fn a_released_probe_allows_the_next_one() {
     let mut breaker = CircuitBreaker::default();
     for _ in 0..3 {
         breaker.failed(Millis(0));
--- a/components/routing/tests/parts/main.rs
+++ b/components/routing/tests/parts/main.rs
@@ -1,10 +1,10 @@
-//! Each part of routing by itself.
+//! Tests of the modules of garnet-routing.
 
 mod admission;
 mod backoff;
 mod choice;
 mod limits;
 mod prefix_index;
+mod recovery;
 mod retry_after;
-mod returns;
 mod waiting;
--- a/components/routing/tests/parts/prefix_index.rs
+++ b/components/routing/tests/parts/prefix_index.rs
@@ -1,6 +1,6 @@
-//! The index of prefix caches: late events, gaps, restarts, and its bound.
+//! The prefix index: repeated events, gaps, restarts and its bound.
 
-use garnet_routing::prefix_index::{BLOCK_TOKENS, MOST_BLOCKS, MOST_BLOCKS_PER_ENGINE};
+use garnet_routing::prefix_index::{BLOCK_TOKENS, MAX_BLOCKS, MAX_BLOCKS_PER_ENGINE};
 use garnet_routing::{CacheEvent, PrefixIndex, block_hashes};
 use garnet_types::BackendId;
 
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn a_block_names_its_whole_prefix() {
+fn a_block_hash_covers_the_whole_prefix() {
     let long = block_hashes(&prompt(3 * BLOCK_TOKENS + 5));
     let short = block_hashes(&prompt(2 * BLOCK_TOKENS));
     assert_eq!(long.len(), 3);
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn a_prefix_counts_up_to_its_first_missing_block() {
+fn a_prefix_ends_at_its_first_missing_block() {
     let blocks = block_hashes(&prompt(4 * BLOCK_TOKENS));
     let mut index = PrefixIndex::default();
     index.observe(
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn events_that_come_twice_count_once() {
+fn repeated_events_are_ignored() {
     let blocks = block_hashes(&prompt(2 * BLOCK_TOKENS));
     let mut index = PrefixIndex::default();
     let events = stored(&blocks, 0);
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn after_a_gap_or_a_restart_nothing_is_believed() {
+fn a_gap_or_a_restart_drops_all_blocks() {
     let blocks = block_hashes(&prompt(2 * BLOCK_TOKENS));
     let mut index = PrefixIndex::default();
     index.observe(&engine(0), 1, &stored(&blocks[..1], 0));
@@ -82,27 +82,27 @@
     assert_eq!(index.cached_tokens(&engine(0), &blocks), 0);
 }
 
-/// What is believed of a large fleet stays within a bound, shared evenly.
+/// The index of a large fleet stays within its bound, which the engines share evenly.
 #[test]
 fn the_index_is_bounded_over_all_engines() {
     let mut index = PrefixIndex::default();
-    let blocks: Vec<u64> = (0..MOST_BLOCKS_PER_ENGINE as u64 + 100).collect();
+    let blocks: Vec<u64> = (0..MAX_BLOCKS_PER_ENGINE as u64 + 100).collect();
     for number in 0..100 {
         index.observe(&engine(number), 1, &stored(&blocks, 0));
     }
-    assert!(index.len() > MOST_BLOCKS / 2);
+    assert!(index.len() > MAX_BLOCKS / 2);
     for number in 0..100 {
         index.observe(&engine(number), 1, &[]);
     }
-    assert!(index.len() <= MOST_BLOCKS, "{}", index.len());
+    assert!(index.len() <= MAX_BLOCKS, "{}", index.len());
 }
 
 #[test]
-fn one_engine_keeps_its_newest_blocks() {
+fn the_newest_blocks_of_an_engine_are_kept() {
     let mut index = PrefixIndex::default();
-    let blocks: Vec<u64> = (0..MOST_BLOCKS_PER_ENGINE as u64 + 1).collect();
+    let blocks: Vec<u64> = (0..MAX_BLOCKS_PER_ENGINE as u64 + 1).collect();
     index.observe(&engine(0), 1, &stored(&blocks, 0));
-    assert_eq!(index.len(), MOST_BLOCKS_PER_ENGINE);
+    assert_eq!(index.len(), MAX_BLOCKS_PER_ENGINE);
     assert_eq!(index.cached_tokens(&engine(0), &[0]), 0, "the oldest");
     assert!(index.cached_tokens(&engine(0), &[1]) > 0);
 }
--- a/components/routing/tests/parts/retry_after.rs
+++ b/components/routing/tests/parts/retry_after.rs
@@ -1,4 +1,4 @@
-//! Values of `Retry-After`.
+//! Parsing of `Retry-After`.
 
 use garnet_routing::{RetryAfter, RetryAfterError};
 use garnet_types::Millis;
@@ -18,13 +18,13 @@
 #[case("99999999999999999999999999999999", u64::MAX)]
 #[case("Thu, 03 Dec 2026 12:00:03 GMT", 3_000)]
 #[case("Thu, 03 Dec 2026 11:59:00 GMT", 0)]
-fn seconds_and_dates_are_read(#[case] value: &str, #[case] span_ms: u64) {
-    let read = RetryAfter::parse(value.as_bytes(), Some(NOON));
-    assert_eq!(read, Ok(RetryAfter::new(Millis(span_ms))));
+fn seconds_and_dates_are_parsed(#[case] value: &str, #[case] span_ms: u64) {
+    let parsed = RetryAfter::parse(value.as_bytes(), Some(NOON));
+    assert_eq!(parsed, Ok(RetryAfter::new(Millis(span_ms))));
 }
 
 #[rstest]
-fn anything_else_is_malformed(
+fn other_values_are_malformed(
     #[values(
         "",
         " ",
@@ -45,35 +45,35 @@
     )]
     value: &str,
 ) {
-    let read = RetryAfter::parse(value.as_bytes(), Some(NOON));
-    assert_eq!(read, Err(RetryAfterError::Malformed));
+    let parsed = RetryAfter::parse(value.as_bytes(), Some(NOON));
+    assert_eq!(parsed, Err(RetryAfterError::Malformed));
 }
 
 #[rstest]
 #[case(None)]
 #[case(Some(&b"today"[..]))]
-fn a_date_needs_the_date_of_its_answer(#[case] date: Option<&[u8]>) {
-    let read = RetryAfter::parse(b"Thu, 03 Dec 2026 12:00:03 GMT", date);
-    assert_eq!(read, Err(RetryAfterError::NoDate));
+fn a_date_requires_the_date_of_its_answer(#[case] date: Option<&[u8]>) {
+    let parsed = RetryAfter::parse(b"Thu, 03 Dec 2026 12:00:03 GMT", date);
+    assert_eq!(parsed, Err(RetryAfterError::NoDate));
 }
 
 proptest! {
     #[test]
-    fn any_bytes_are_read_or_refused(value in proptest::collection::vec(any::<u8>(), 0..40)) {
+    fn parsing_never_panics(value in proptest::collection::vec(any::<u8>(), 0..40)) {
         let _either = RetryAfter::parse(&value, Some(NOON));
     }
 
     #[test]
-    fn what_is_written_is_read_again(span_ms in 0_u64..10_000_000_000) {
-        let written = RetryAfter::new(Millis(span_ms)).to_string();
-        prop_assert_eq!(written.parse(), Ok(RetryAfter::new(Millis(span_ms))));
+    fn a_displayed_value_parses_to_itself(span_ms in 0_u64..10_000_000_000) {
+        let displayed = RetryAfter::new(Millis(span_ms)).to_string();
+        prop_assert_eq!(displayed.parse(), Ok(RetryAfter::new(Millis(span_ms))));
     }
 
     #[test]
-    fn no_time_is_lost_to_rounding(span_ms in 0_u64..10_000_000_000) {
+    fn rounding_never_shortens_the_time(span_ms in 0_u64..10_000_000_000) {
         let value = format!("{}.{:03}", span_ms / 1000, span_ms % 1000);
-        let read = RetryAfter::parse(value.as_bytes(), None).expect("seconds");
-        prop_assert!(read.span() >= Millis(span_ms));
-        prop_assert!(read.span() <= Millis(span_ms + 1));
+        let parsed = RetryAfter::parse(value.as_bytes(), None).expect("seconds");
+        prop_assert!(parsed.span() >= Millis(span_ms));
+        prop_assert!(parsed.span() <= Millis(span_ms + 1));
     }
 }
--- a/components/routing/tests/parts/waiting.rs
+++ b/components/routing/tests/parts/waiting.rs
@@ -1,4 +1,4 @@
-//! The queue of work that may wait.
+//! The queue of waiting requests.
 
 use garnet_routing::{Waiting, WaitingQueue};
 use garnet_types::{Class, Millis};
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn urgent_work_goes_first_and_equals_keep_their_order() {
+fn requests_are_served_by_class_and_arrival() {
     let mut queue = WaitingQueue::new(8);
     for (item, class) in [
         (1, Class::Deferrable),
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn work_that_yields_is_not_starved_without_bound() {
+fn requests_of_a_lower_class_do_not_starve() {
     let mut queue = WaitingQueue::new(8);
     queue
         .push(waiting(1, Class::Deferrable, 0))
@@ -45,17 +45,17 @@
 }
 
 #[test]
-fn a_full_queue_gives_the_request_back() {
+fn a_full_queue_returns_the_request() {
     let mut queue = WaitingQueue::new(1);
     queue
         .push(waiting(1, Class::Deferrable, 0))
         .expect("there is room");
-    let back = queue.push(waiting(2, Class::Deferrable, 0));
-    assert_eq!(back.map_err(|one| one.item), Err(2));
+    let returned = queue.push(waiting(2, Class::Deferrable, 0));
+    assert_eq!(returned.map_err(|one| one.item), Err(2));
 }
 
 #[test]
-fn what_can_not_be_on_time_any_more_is_taken_out() {
+fn requests_past_their_latest_start_expire() {
     let mut queue = WaitingQueue::new(8);
     queue
         .push(waiting(1, Class::Deferrable, 0))
