--- a/components/gateway/src/completion/mod.rs
+++ b/components/gateway/src/completion/mod.rs
@@ -174,7 +174,7 @@
                     if placed.is_none() {
                         self.ask_for_any(waiting.item);
                     }
-                    self.waiting.push_front(waiting);
+                    self.waiting.return_to_front(waiting);
                     return;
                 }
             }
--- a/components/gateway/src/completion/outcomes.rs
+++ b/components/gateway/src/completion/outcomes.rs
@@ -92,7 +92,10 @@
         first: u64,
         tokens: Vec<String>,
     ) {
-        self.backends.belief(backend).estimate.prefilled(&attempt);
+        self.backends
+            .belief(backend)
+            .estimate
+            .prompt_prefilled(&attempt);
         self.backends.accepted(backend, attempt);
         let now = self.now;
         let Some(request) = self.requests.get_mut(&id) else {
--- a/components/routing/src/backoff.rs
+++ b/components/routing/src/backoff.rs
@@ -21,9 +21,9 @@
 
 /// Jitter that one of `gateways` gateways adds to a backoff; `draw` is a random number from 0 to 1.
 pub fn backoff_jitter(retry_after: RetryAfter, gateways: u64, draw: f64) -> Millis {
-    let max = retry_after.span().0 / JITTER_DIVISOR;
+    let max_jitter_ms = retry_after.span().0 / JITTER_DIVISOR;
     let total = PROBE_INTERVAL.0.saturating_mul(gateways);
-    Millis((total.min(max) as f64 * draw) as u64)
+    Millis((total.min(max_jitter_ms) as f64 * draw) as u64)
 }
 
 /// Retry delay of a caller that no back end takes before `earliest`, with a jitter of at most
--- a/components/routing/src/estimate.rs
+++ b/components/routing/src/estimate.rs
@@ -65,7 +65,7 @@
     }
 
     /// Records that the prompt of a job is prefilled.
-    pub fn prefilled(&mut self, key: &K) {
+    pub fn prompt_prefilled(&mut self, key: &K) {
         if let Some(work) = self.in_flight_work.get_mut(key) {
             work.prefilled = true;
         }
--- a/components/routing/src/retry_after.rs
+++ b/components/routing/src/retry_after.rs
@@ -42,14 +42,14 @@
         date: Option<&[u8]>,
         mut on_invalid: impl FnMut(V, RetryAfterError),
     ) -> Option<Self> {
-        let parse = |value: V| match RetryAfter::parse(value.as_ref(), date) {
+        let parse_value = |value: V| match RetryAfter::parse(value.as_ref(), date) {
             Ok(retry_after) => Some(retry_after),
             Err(error) => {
                 on_invalid(value, error);
                 None
             }
         };
-        values.into_iter().filter_map(parse).max()
+        values.into_iter().filter_map(parse_value).max()
     }
 
     /// Parses one value of the header: seconds, with or without a fraction, or an HTTP date. A date
--- a/components/routing/src/waiting.rs
+++ b/components/routing/src/waiting.rs
@@ -86,7 +86,7 @@
     }
 
     /// Returns a request to the front of its class.
-    pub fn push_front(&mut self, waiting: Waiting<T>) {
+    pub fn return_to_front(&mut self, waiting: Waiting<T>) {
         self.entries.push_front(waiting);
     }
 
