--- a/components/limits/src/gateway_limits.rs
+++ b/components/limits/src/gateway_limits.rs
@@ -37,7 +37,7 @@
 
 /// The limit of one back end.
 #[derive(Debug)]
-struct KnownLimit {
+struct Limit {
     rate: RequestRate,
     start: u64,
     /// When the limit was last reported here, or first listed by the leader. An answer without a
@@ -50,9 +50,9 @@
     no_permits: Option<NoPermits>,
 }
 
-impl KnownLimit {
+impl Limit {
     fn new(rate: RequestRate, start: u64, leader_view: LeaderView, now: Millis) -> Self {
-        KnownLimit {
+        Limit {
             rate,
             start,
             reported_at: now,
@@ -81,6 +81,7 @@
     backend: BackendId,
     start: u64,
     rate: Option<RequestRate>,
+    /// When the answer with the limit arrived, or when the request was sent whose answer had none.
     at: Millis,
 }
 
@@ -107,7 +108,7 @@
 /// The limits that one gateway knows of, and its permits.
 #[derive(Debug, Default)]
 pub struct GatewayLimits {
-    known: HashMap<BackendId, KnownLimit>,
+    known: HashMap<BackendId, Limit>,
     pending_reports: VecDeque<PendingReport>,
     permit_requests: VecDeque<PendingPermitRequest>,
     last_request_number: u64,
@@ -170,7 +171,7 @@
         now: Millis,
     ) -> bool {
         let known = self.known.entry(id.clone());
-        let known = known.or_insert_with(|| KnownLimit::new(rate, start, LeaderView::Unsent, now));
+        let known = known.or_insert_with(|| Limit::new(rate, start, LeaderView::Unsent, now));
         let is_new = known.rate != rate || !known.was_reported_here;
         known.rate = rate;
         known.start = start;
@@ -251,16 +252,15 @@
         self.list = Some((list.term, list.number));
         for entry in list.limits {
             let known = self.known.entry(entry.backend.clone());
-            let known = known.or_insert_with(|| {
-                KnownLimit::new(entry.rate, UNTOLD_START, LeaderView::Listed, now)
-            });
+            let known = known
+                .or_insert_with(|| Limit::new(entry.rate, UNTOLD_START, LeaderView::Listed, now));
             if known.leader_view != LeaderView::Unsent {
                 known.rate = entry.rate;
             }
             known.leader_view = LeaderView::Listed;
         }
         let listed: BTreeSet<&BackendId> = list.limits.iter().map(|entry| &entry.backend).collect();
-        let has_ended = |known: &KnownLimit| match known.leader_view {
+        let has_ended = |known: &Limit| match known.leader_view {
             LeaderView::Unsent => false,
             LeaderView::Sent(number) => number <= list.reports_taken,
             LeaderView::Listed => true,
@@ -306,11 +306,12 @@
     /// Adds the limits that are missing from the leader's list, since messages may be lost. Those
     /// that were never sent come first.
     fn repeat_unlisted(&mut self, number: u64, reports: &mut Vec<LimitReport>, now: Millis) {
-        let is_new = |known: &KnownLimit| matches!(known.leader_view, LeaderView::Sent(sent) if sent == number);
+        let is_new =
+            |known: &Limit| matches!(known.leader_view, LeaderView::Sent(sent) if sent == number);
         let unlisted = self.known.iter_mut();
         let unlisted =
             unlisted.filter(|(_, known)| known.leader_view != LeaderView::Listed && !is_new(known));
-        let mut unlisted: Vec<(&BackendId, &mut KnownLimit)> = unlisted.collect();
+        let mut unlisted: Vec<(&BackendId, &mut Limit)> = unlisted.collect();
         unlisted.sort_unstable_by_key(|(_, known)| known.leader_view != LeaderView::Unsent);
         for (id, known) in unlisted.into_iter().take(MAX_PENDING_REPORTS) {
             known.leader_view = LeaderView::Sent(number);
--- a/components/limits/src/ledger.rs
+++ b/components/limits/src/ledger.rs
@@ -45,10 +45,10 @@
     /// permit plus a reserve for more urgent requests, in proportion to their share of the
     /// refill rate.
     fn needed_micros(&self, priority: u8, now: Millis) -> u64 {
-        let kept = PermitBucket::depth_micros(self.rate) - PERMIT_MICROS;
+        let max_reserve = PermitBucket::depth_micros(self.rate) - PERMIT_MICROS;
         let refill_rate = PermitBucket::refill_rate(self.rate).per_s();
         let urgent = self.demand.more_urgent_per_s(priority, now) / refill_rate;
-        PERMIT_MICROS + (kept as f64 * urgent.min(1.0)) as u64
+        PERMIT_MICROS + (max_reserve as f64 * urgent.min(1.0)) as u64
     }
 
     /// Content of the bucket beyond [`Self::needed_micros`]; negative if there is less.
@@ -67,6 +67,7 @@
 #[derive(Debug, Default)]
 pub struct LimitLedger {
     limits: BTreeMap<BackendId, BackendLimit>,
+    /// Back ends whose limit ended recently, and when.
     ended: BTreeMap<BackendId, Millis>,
     list_number: u64,
 }
--- a/components/limits/src/rate.rs
+++ b/components/limits/src/rate.rs
@@ -75,7 +75,7 @@
 /// Why a text is not a rate.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display, Error)]
 pub enum RateError {
-    /// it is no decimal number from 0 on
+    /// it is not a decimal number of 0 or more
     NotDecimal,
 }
 
--- a/components/quarantine/src/crash_log.rs
+++ b/components/quarantine/src/crash_log.rs
@@ -25,7 +25,8 @@
 pub enum QuarantineStatus {
     /// The request is not suspected.
     Clear,
-    /// The request is refused after one more crash. It runs apart from other suspected ones.
+    /// The request is refused after one more crash, and runs only at its
+    /// [`isolation_backend`](crate::isolation_backend).
     Suspected,
     /// The request is sent to no engine.
     Refused,
--- a/components/quarantine/src/tracker.rs
+++ b/components/quarantine/src/tracker.rs
@@ -183,7 +183,7 @@
 
     /// The requests with the most crashes among those that reach the threshold.
     fn most_crashed(&self) -> Option<BTreeMap<RequestFingerprint, Crashes>> {
-        let mut over_threshold = self.unrefused();
+        let mut over_threshold = self.unrefused_crashes();
         over_threshold.retain(|_, crashes| crashes.reach_threshold());
         let count = |crashes: &Crashes| crashes.unexplained.len();
         let max_count = over_threshold.values().map(count).max()?;
@@ -192,7 +192,7 @@
     }
 
     /// The crashes of each request that is not refused.
-    fn unrefused(&self) -> BTreeMap<RequestFingerprint, Crashes> {
+    fn unrefused_crashes(&self) -> BTreeMap<RequestFingerprint, Crashes> {
         let refused = self.refused.iter().filter_map(|id| self.tracked.get(id));
         let explained: BTreeSet<&EngineStart> = refused.flat_map(|t| t.engines.keys()).collect();
         let unrefused = self.tracked.iter();
@@ -219,7 +219,7 @@
     }
 
     fn compute_suspected(&self) -> Vec<RequestFingerprint> {
-        let unrefused = self.unrefused();
+        let unrefused = self.unrefused_crashes();
         let suspected = unrefused
             .iter()
             .filter(|(_, crashes)| crashes.nearly_reach_threshold());
--- a/components/routing/src/estimate.rs
+++ b/components/routing/src/estimate.rs
@@ -128,8 +128,8 @@
             .count() as f64
     }
 
-    /// Tokens of own prompts that are not prefilled, a lower bound for the queue. The largest prompt
-    /// is left out, since its prefill may be in progress.
+    /// Tokens of own prompts that are not prefilled, a lower bound for the queue. The largest
+    /// prompt is left out, since its prefill may be in progress.
     fn own_pending_prompt_tokens(&self) -> f64 {
         let pending = self.in_flight_work.values().filter(|work| !work.prefilled);
         let tokens: Vec<u64> = pending.map(|work| work.prompt_tokens).collect();
--- a/components/routing/src/prefix_index.rs
+++ b/components/routing/src/prefix_index.rs
@@ -1,8 +1,8 @@
 //! An estimate of which engine holds the KV cache of which prompt prefixes.
 //!
-//! Prompts are split into blocks. The hash of a block covers all blocks before it, so that one hash
-//! identifies a prefix. Engines publish cache events with delays and gaps. After a gap all blocks of
-//! the engine are dropped: a missing prefix costs time, a wrong one costs a misrouted request.
+//! Prompts are split into blocks. The hash of a block covers all blocks before it, so that one
+//! hash identifies a prefix. Engines publish cache events with delays and gaps. After a gap all
+//! blocks of the engine are dropped: a missing prefix costs time, a wrong one a misrouted request.
 
 use std::collections::{BTreeMap, HashSet, VecDeque};
 
--- a/components/routing/src/retry_after.rs
+++ b/components/routing/src/retry_after.rs
@@ -35,8 +35,8 @@
         self.0
     }
 
-    /// The longest of the values of one answer, whose `Date` is `date`. Invalid values are passed to
-    /// `on_invalid` and ignored.
+    /// The longest of the values of one answer, whose `Date` is `date`. Invalid values are passed
+    /// to `on_invalid` and ignored.
     pub fn longest<V: AsRef<[u8]>>(
         values: impl IntoIterator<Item = V>,
         date: Option<&[u8]>,
