--- a/components/forwarding/src/forwarder/estimates.rs
+++ b/components/forwarding/src/forwarder/estimates.rs
@@ -117,7 +117,7 @@
     /// Records that a back end was silent for too long.
     pub fn silent(&mut self, id: &BackendId, now: Millis) {
         if let Some(backend) = self.backends.get_mut(id) {
-            backend.breaker.silent(now);
+            backend.breaker.unresponsive(now);
             self.evidence_of(id).failed += 1;
         }
     }
@@ -127,7 +127,7 @@
         if let Some(backend) = self.backends.get_mut(id) {
             // A running process does not refuse connections, so a single failure is
             // enough evidence.
-            backend.breaker.silent(now);
+            backend.breaker.unresponsive(now);
             self.evidence_of(id).unreachable += 1;
         }
     }
--- a/components/gateway/src/completion/dispatch.rs
+++ b/components/gateway/src/completion/dispatch.rs
@@ -1,6 +1,6 @@
 //! Attempts at engines, from their start.
 
-use garnet_routing::OwnWork;
+use garnet_routing::InFlightWork;
 use garnet_types::{BackendId, RequestId};
 
 use crate::call::Work;
@@ -108,11 +108,11 @@
         let uncached_tokens = shape
             .prompt_tokens
             .saturating_sub(shape.cached_tokens + shape.transferred_tokens);
-        let work = OwnWork {
+        let work = InFlightWork {
             prompt_tokens: uncached_tokens,
             decodes: phase != Phase::Prefill,
             sent_at: self.now,
-            prompt_read: phase == Phase::Decode,
+            prefilled: phase == Phase::Decode,
         };
         self.backends.sent(backend, attempt, work);
         let now = self.now;
--- a/components/gateway/src/completion/outcomes.rs
+++ b/components/gateway/src/completion/outcomes.rs
@@ -95,7 +95,7 @@
         self.backends
             .view_mut(backend)
             .estimate
-            .prompt_read(&attempt);
+            .prompt_prefilled(&attempt);
         self.backends.accepted(backend, attempt);
         let now = self.now;
         let Some(request) = self.requests.get_mut(&id) else {
