--- a/components/forwarding/tests/core/admission.rs
+++ b/components/forwarding/tests/core/admission.rs
@@ -1,4 +1,4 @@
-//! Requests are sent, deferred or refused by what is predicted of them.
+//! Requests are sent, deferred or refused by their predicted times.
 
 use garnet_control::{Backlog, ByRank, WatchUpdate};
 use garnet_forwarding::{Admission, Arrival, Forwarder, Prompt, Work};
@@ -7,7 +7,9 @@
 use proptest::prelude::*;
 use rstest::rstest;
 
-use crate::fleet::{NOW, configuration, empty_forwarder, hear, prompt, record, table, work};
+use crate::fleet::{
+    NOW, configuration, empty_forwarder, prompt, receive_digest, record, table, work,
+};
 
 const SLOTS: u64 = 48;
 /// The pace that the gateway has learned.
@@ -25,7 +27,8 @@
     BackendId::new("decode_engine")
 }
 
-/// A gateway before one prefill engine and one decode engine, which knows their pace.
+/// A gateway before one prefill engine and one decode engine, with a learned prefill
+/// pace.
 fn gateway() -> Forwarder {
     let limits = EngineLimits {
         slots: SLOTS,
@@ -86,7 +89,7 @@
 }
 
 #[test]
-fn nothing_is_turned_away_from_free_engines() {
+fn free_engines_refuse_nothing() {
     let mut gateway = gateway();
     // Ten seconds of prefill, with an objective of half a second.
     let large = stream(prompt(1, 2, 1_000_000));
@@ -97,29 +100,29 @@
 #[rstest]
 #[case::short_queue(30_000, Admission::Admit)]
 #[case::late(100_000, Admission::Defer)]
-fn what_would_be_late_is_read_after_the_rest(#[case] queued: u64, #[case] expected: Admission) {
+fn late_prompts_are_prefilled_after_the_rest(#[case] queued: u64, #[case] expected: Admission) {
     let mut gateway = gateway();
-    let others = backlog(prefill_engine(), 9, ByRank::at(0, queued));
-    hear(&mut gateway, &[others]);
+    let peers = backlog(prefill_engine(), 9, ByRank::at(0, queued));
+    receive_digest(&mut gateway, &[peers]);
     let work = stream(prompt(1, 2, 8_000));
     assert_eq!(decide(&mut gateway, &work, false), expected);
     assert_eq!(decide(&mut gateway, &work, true), expected);
 }
 
 #[test]
-fn what_is_queued_behind_makes_nobody_late() {
+fn prompts_queued_behind_delay_no_other() {
     let mut gateway = gateway();
-    let others = backlog(prefill_engine(), 9, ByRank::at(9, 100_000));
-    hear(&mut gateway, &[others]);
+    let peers = backlog(prefill_engine(), 9, ByRank::at(9, 100_000));
+    receive_digest(&mut gateway, &[peers]);
     let work = stream(prompt(1, 2, 8_000));
     assert_eq!(decide(&mut gateway, &work, false), Admission::Admit);
 }
 
 #[test]
-fn what_would_end_before_it_begins_is_refused_with_a_time_to_come_back() {
+fn a_request_that_would_time_out_is_refused_with_a_retry_time() {
     let mut gateway = gateway();
-    let others = backlog(prefill_engine(), 9, ByRank::at(0, 300_000));
-    hear(&mut gateway, &[others]);
+    let peers = backlog(prefill_engine(), 9, ByRank::at(0, 300_000));
+    receive_digest(&mut gateway, &[peers]);
     let work = stream(prompt(1, 2, 8_000));
     let Admission::Refuse { retry_after, .. } = decide(&mut gateway, &work, true) else {
         panic!("three seconds are queued");
@@ -132,14 +135,15 @@
 }
 
 #[test]
-fn an_engine_is_not_blamed_for_what_it_reads_last() {
+fn deferred_prefills_have_no_timeout() {
     let gateway = gateway();
-    let time_limit = |rank| gateway.prefill_timeout(&prefill_engine(), 8_000, rank, NOW);
+    let time_limit =
+        |engine_priority| gateway.prefill_timeout(&prefill_engine(), 8_000, engine_priority, NOW);
     assert!(time_limit(8).is_some());
     assert_eq!(time_limit(9), None);
 }
 
-/// Places are taken by requests that need 4 s each.
+/// All slots are held by requests that need 4 s each.
 fn full_decode_engine(requests: u64) -> Forwarder {
     let mut gateway = gateway();
     let chat = Prompt {
@@ -148,13 +152,13 @@
     };
     gateway.note_slot_time(&decode_engine(), &chat, Millis(4_000));
     gateway.sent_for_decode(&decode_engine(), &chat, 1, NOW);
-    let others = backlog(decode_engine(), requests - 1, ByRank::default());
-    hear(&mut gateway, &[others]);
+    let peers = backlog(decode_engine(), requests - 1, ByRank::default());
+    receive_digest(&mut gateway, &[peers]);
     gateway
 }
 
 #[test]
-fn who_finds_no_place_is_told_when_one_is_free() {
+fn callers_without_a_slot_are_told_when_to_retry() {
     let work = stream(prompt(1, 2, 100));
     let mut free = full_decode_engine(SLOTS - 1);
     assert_eq!(decide(&mut free, &work, false), Admission::Admit);
@@ -162,14 +166,15 @@
     let Admission::Refuse { retry_after, .. } = decide(&mut full, &work, false) else {
         panic!("eleven requests wait before it");
     };
-    // One place in 4000 / 48 ms: eleven in 917 ms, at most 0.3 of 2 s are told.
+    // A slot is released every 4000 / 48 ms: eleven take 917 ms; the retry time is at
+    // most 0.3 of the 2 s.
     assert_eq!(retry_after, Millis(600));
-    // Who was here before waits for the place.
+    // A caller that retried waits for the slot.
     assert_eq!(decide(&mut full, &work, true), Admission::Defer);
 }
 
 #[test]
-fn more_urgent_work_does_not_wait_for_places_of_less_urgent() {
+fn urgent_work_does_not_wait_behind_less_urgent_work() {
     let mut full = full_decode_engine(SLOTS + 10);
     let mut urgent = stream(prompt(1, 2, 100));
     urgent.priority = 0;
@@ -177,9 +182,9 @@
 }
 
 proptest! {
-    /// Whatever is believed, a time to come back is one that callers keep.
+    /// For any estimate, the retry time is one that callers can keep.
     #[test]
-    fn the_time_to_come_back_is_bounded(
+    fn the_retry_time_is_bounded(
         queued in 0_u64..10_000_000,
         requests in 0_u64..10_000,
         tokens in 1_u64..1_000_000,
@@ -187,11 +192,11 @@
         is_retry: bool,
     ) {
         let mut gateway = gateway();
-        let others = [
+        let peers = [
             backlog(prefill_engine(), requests, ByRank::at(0, queued)),
             backlog(decode_engine(), requests, ByRank::default()),
         ];
-        hear(&mut gateway, &others);
+        receive_digest(&mut gateway, &peers);
         let arrival = Arrival {
             waited: Millis::ZERO,
             remaining: Millis(remaining),
@@ -210,7 +215,7 @@
 }
 
 #[test]
-fn what_callers_guess_tells_what_others_will_get() {
+fn output_guesses_predict_the_output_of_others() {
     let mut gateway = gateway();
     let mut likely = |guess: Option<u64>| {
         let mut prompt = Prompt {
@@ -228,16 +233,16 @@
     assert_eq!(likely(None), 300);
 }
 
-/// A stream that can't be taken up elsewhere is cut where its process ends
-/// before it: none is begun that probably lasts longer.
+/// A stream that can't be resumed elsewhere is cut when its gateway process ends, so none
+/// is begun that probably lasts longer.
 #[rstest]
 #[case::shorter(WorkKind::Stream, Some(300), 8_000, false)]
 #[case::longer(WorkKind::Stream, Some(700), 8_000, true)]
-#[case::nobody_has_an_idea(WorkKind::Stream, None, 8_000, true)]
-#[case::a_guess_beyond_the_most(WorkKind::Stream, Some(9_000), 16_000, false)]
-#[case::taken_up_elsewhere(WorkKind::ResumableStream, Some(700), 8_000, false)]
+#[case::no_guess(WorkKind::Stream, None, 8_000, true)]
+#[case::a_guess_beyond_the_maximum(WorkKind::Stream, Some(9_000), 16_000, false)]
+#[case::resumable(WorkKind::ResumableStream, Some(700), 8_000, false)]
 #[case::no_prompt(WorkKind::AtMostOnce, None, 8_000, false)]
-fn a_stream_outlasts_what_is_left(
+fn a_stream_outlasts_the_remaining_time(
     #[case] kind: WorkKind,
     #[case] likely: Option<u64>,
     #[case] left_ms: u64,
--- a/components/forwarding/tests/core/attempts.rs
+++ b/components/forwarding/tests/core/attempts.rs
@@ -1,4 +1,4 @@
-//! What the end of an attempt means.
+//! Decisions after the end of an attempt.
 
 use garnet_forwarding::{AttemptEnd, GivenUp, NextMove, NotRunReason, Progress, next_move};
 use garnet_routes::WorkKind;
@@ -23,7 +23,7 @@
 #[case::once_failed(WorkKind::AtMostOnce, &[AttemptEnd::Failed], NextMove::PassOn)]
 #[case::stream_broken(WorkKind::Stream, &[AttemptEnd::Broken], NextMove::GiveUp(GivenUp::InDoubt))]
 #[case::resumable_broken(WorkKind::ResumableStream, &[AttemptEnd::Broken], AGAIN)]
-fn after_these_ends(
+fn next_move_after_attempt_ends(
     #[case] kind: WorkKind,
     #[case] ends: &[AttemptEnd],
     #[case] expected: NextMove,
@@ -47,11 +47,11 @@
 }
 
 proptest! {
-    /// Whatever happens, work that may run once is never sent on after it may
-    /// have run, "not run" is said only when it surely did not, and every
-    /// request comes to an end.
+    /// For any sequence of ends, work that may run at most once is not sent again after
+    /// it may have run, "not run" is reported only if the request has certainly not run,
+    /// and every request ends.
     #[test]
-    fn at_most_once_and_true_promises(ends in prop::collection::vec(any_end(), 1..20)) {
+    fn at_most_once_and_accurate_give_up(ends in prop::collection::vec(any_end(), 1..20)) {
         for kind in [WorkKind::AtMostOnce, WorkKind::Stream, WorkKind::Repeatable] {
             let mut progress = Progress::default();
             let mut may_have_run = false;
@@ -81,14 +81,18 @@
     }
 }
 
-/// A back end that is silent and kept counts as one that may have run.
+/// An attempt whose back end is silent counts as one that may have run.
 #[rstest]
 #[case::repeatable(WorkKind::Repeatable, 0, AGAIN)]
 #[case::resumable(WorkKind::ResumableStream, 0, AGAIN)]
 #[case::one_has_run_already(WorkKind::ResumableStream, 1, NextMove::GiveUp(GivenUp::InDoubt))]
 #[case::at_most_once(WorkKind::AtMostOnce, 0, NextMove::GiveUp(GivenUp::InDoubt))]
 #[case::stream(WorkKind::Stream, 0, NextMove::GiveUp(GivenUp::InDoubt))]
-fn beside_one_that_is_kept(#[case] kind: WorkKind, #[case] ran: u32, #[case] expected: NextMove) {
+fn next_move_beside_a_silent_attempt(
+    #[case] kind: WorkKind,
+    #[case] ran: u32,
+    #[case] expected: NextMove,
+) {
     let mut progress = Progress {
         ran,
         ..Progress::default()
--- a/components/forwarding/tests/core/availability.rs
+++ b/components/forwarding/tests/core/availability.rs
@@ -1,4 +1,4 @@
-//! Back ends that request a backoff or report draining: who is sent there, and who isn't.
+//! Placement while back ends are in backoff or draining.
 
 use garnet_control::{BackendRecord, EngineObservation, WatchUpdate};
 use garnet_forwarding::{
@@ -44,7 +44,7 @@
     )
 }
 
-/// Whether any of many requests is placed at the back end, in whatever phase.
+/// Whether any of many requests is placed at the back end, in any phase.
 fn is_used(gateway: &mut Forwarder, name: &str, now: Millis) -> bool {
     let name = id(name);
     (0..50).any(|number| {
@@ -74,12 +74,13 @@
     let last = END - Millis(1);
     assert!(!is_used(&mut gateway, name, NOW) && !is_used(&mut gateway, name, last));
     assert!(!gateway.may_send(&id(name), last) && !gateway.is_available(&id(name), last));
-    // One gateway alone spreads the end by 2 ms at most.
+    // A single gateway spreads the end by 2 ms at most.
     let end = END + Millis(2);
     assert!(gateway.may_send(&id(name), end) && is_used(&mut gateway, name, end));
 }
 
-/// Neither a success of a request that was sent before nor failures elsewhere end it.
+/// Neither the success of a request that was sent before nor failures elsewhere end a
+/// backoff.
 #[test]
 fn no_other_answer_ends_a_backoff() {
     let mut gateway = forwarder(&instances());
@@ -101,23 +102,23 @@
     );
 }
 
-/// An engine that has started again under its name has requested nothing yet.
+/// An engine that has restarted under its name has requested no backoff yet.
 #[test]
-fn another_start_is_in_no_backoff() {
+fn a_restarted_engine_is_in_no_backoff() {
     let records = engines();
     let mut gateway = forwarder(&records);
     gateway.note_backoff(&id("d-1"), BACKOFF, NOW);
-    let mut again = records.clone();
-    again[0].observed = again[0].observed.clone().map(|seen| EngineObservation {
+    let mut restarted = records.clone();
+    restarted[0].observed = restarted[0].observed.clone().map(|seen| EngineObservation {
         incarnation: 2,
         ..seen
     });
-    let anew = configuration(6, table(1, &[("till", 1)]), &again);
-    gateway.update(WatchUpdate::Snapshot(anew.into()));
+    let updated = configuration(6, table(1, &[("till", 1)]), &restarted);
+    gateway.update(WatchUpdate::Snapshot(updated.into()));
     assert!(gateway.may_send(&id("d-1"), NOW));
 }
 
-/// Records in which the first back end is at this start.
+/// The records, with the first back end at this start.
 fn at_start(records: &[BackendRecord], start: u64) -> Vec<BackendRecord> {
     let mut records = records.to_vec();
     let first = &mut records[0];
@@ -128,12 +129,12 @@
     records
 }
 
-/// Whatever was learned of an engine or an application is of its start: in a backoff, or
-/// not the one that was meant at its address.
+/// A backoff, draining, and another back end at the address are all state of one start of
+/// an engine or application.
 #[rstest]
 #[case::application(instances(), "till-a")]
 #[case::engine(engines(), "d-1")]
-fn another_start_is_taken_for_another_back_end(
+fn a_restarted_back_end_has_no_earlier_state(
     #[case] records: Vec<BackendRecord>,
     #[case] name: &str,
 ) {
@@ -143,8 +144,8 @@
     gateway.note_draining(&id(name), NOW);
     let update = |gateway: &mut Forwarder, index, start| {
         let records = at_start(&records, start);
-        let anew = configuration(index, table(1, &[("till", 1)]), &records);
-        gateway.update(WatchUpdate::Snapshot(anew.into()));
+        let updated = configuration(index, table(1, &[("till", 1)]), &records);
+        gateway.update(WatchUpdate::Snapshot(updated.into()));
         gateway.may_send(&id(name), NOW)
     };
     assert!(!update(&mut gateway, 6, 7));
@@ -156,19 +157,19 @@
     assert!(update(&mut gateway, 9, 8));
 }
 
-/// A configuration that changes something else ends no backoff.
+/// A configuration that changes something else does not end a backoff.
 #[test]
-fn a_configuration_ends_no_backoff() {
+fn an_unrelated_configuration_change_ends_no_backoff() {
     let records = instances();
     let mut gateway = forwarder(&records);
     gateway.note_backoff(&id("till-a"), BACKOFF, NOW);
-    let anew = configuration(6, table(2, &[("till", 1)]), &records);
-    gateway.update(WatchUpdate::Snapshot(anew.into()));
+    let updated = configuration(6, table(2, &[("till", 1)]), &records);
+    gateway.update(WatchUpdate::Snapshot(updated.into()));
     assert!(!gateway.may_send(&id("till-a"), NOW));
 }
 
 #[test]
-fn after_a_backoff_requests_come_back_one_after_the_other() {
+fn requests_resume_gradually_after_a_backoff() {
     let mut gateway = forwarder(&instances());
     gateway.note_backoff(&id("till-a"), BACKOFF, NOW);
     let end = END + Millis(2);
@@ -190,39 +191,39 @@
 }
 
 #[test]
-fn where_all_are_in_backoff_the_first_end_is_told() {
+fn callers_retry_after_the_first_backoff_ends() {
     let mut gateway = forwarder(&instances());
     gateway.note_backoff(&id("till-a"), BACKOFF, NOW);
     assert_eq!(gateway.all_in_backoff(&till(), &call(), NOW), None);
     let long = RetryAfter::new(Millis(9_000));
     gateway.note_backoff(&id("till-b"), long, NOW);
-    let told: Vec<u64> = (0..100)
+    let retry_times: Vec<u64> = (0..100)
         .filter_map(|_| gateway.all_in_backoff(&till(), &call(), NOW))
-        .map(|told| told.0)
+        .map(|time| time.0)
         .collect();
-    assert_eq!(told.len(), 100);
-    // Spread over the objective, half a second here.
-    assert!(told.iter().all(|told| (3_000..3_510).contains(told)));
-    let early = told.iter().filter(|told| **told < 3_250).count();
+    assert_eq!(retry_times.len(), 100);
+    // Spread over the objective, which is half a second here.
+    assert!(retry_times.iter().all(|time| (3_000..3_510).contains(time)));
+    let early = retry_times.iter().filter(|time| **time < 3_250).count();
     assert!(
         (40..=60).contains(&early),
         "{early} of 100 in the first half"
     );
 }
 
-/// A stream can't be served where all that generate are in backoff, whoever reads
-/// prompts; none is read for it.
+/// A stream can't be served while all decode engines are in backoff, even if prefill
+/// engines are free; its prompt is not prefilled.
 #[test]
-fn no_prompt_is_read_where_nobody_can_generate() {
+fn no_prompt_is_prefilled_without_a_decode_engine() {
     let mut gateway = forwarder(&engines());
     gateway.note_backoff(&id("d-1"), BACKOFF, NOW);
     gateway.note_backoff(&id("d-2"), BACKOFF, NOW);
     assert_eq!(gateway.place(&words(), &stream(1), &[], true, NOW), None);
-    let told = gateway
+    let retry_time = gateway
         .all_in_backoff(&words(), &stream(1), NOW)
         .expect("a time");
-    assert!(told >= BACKOFF.span(), "{told:?}");
-    // Prefill engines in backoff leave the work to engines that do all of it.
+    assert!(retry_time >= BACKOFF.span(), "{retry_time:?}");
+    // If the prefill engines are in backoff, mixed engines do the whole work.
     let mut gateway = forwarder(&engines());
     gateway.note_backoff(&id("p-1"), BACKOFF, NOW);
     gateway.note_backoff(&id("p-2"), BACKOFF, NOW);
@@ -231,7 +232,7 @@
     assert_eq!(gateway.all_in_backoff(&words(), &stream(1), NOW), None);
 }
 
-/// No permit is asked for, and none is used, while its back end is in backoff.
+/// While a back end is in backoff, no permit for it is requested or used.
 #[test]
 fn a_backoff_comes_before_a_permit() {
     let mut gateway = forwarder(&instances()[..1]);
@@ -244,20 +245,20 @@
     assert!(gateway.all_in_backoff(&till(), &call(), NOW).is_some());
 }
 
-/// Places at engines in backoff are none: admission counts on the others only.
+/// Admission counts decode slots only at engines that are not in backoff.
 #[test]
-fn admission_counts_no_place_at_an_engine_in_backoff() {
+fn admission_counts_no_slot_at_an_engine_in_backoff() {
     let records = engines();
-    let admission = |rests: &[&str]| {
+    let admission = |in_backoff: &[&str]| {
         let mut gateway = gateway_of(&records, 1, 0);
-        for name in rests {
+        for name in in_backoff {
             gateway.note_backoff(&id(name), BACKOFF, NOW);
         }
-        let underway = prompt(1, 1_001, 20_000);
+        let in_flight = prompt(1, 1_001, 20_000);
         for _ in 0..200 {
-            gateway.sent_for_decode(&id("d-1"), &underway, 1, NOW);
-            // Each place is kept for a second.
-            gateway.note_slot_time(&id("d-1"), &underway, Millis(1_000));
+            gateway.sent_for_decode(&id("d-1"), &in_flight, 1, NOW);
+            // Each slot is held for a second.
+            gateway.note_slot_time(&id("d-1"), &in_flight, Millis(1_000));
         }
         let arrival = Arrival {
             waited: Millis::ZERO,
@@ -276,10 +277,10 @@
     );
 }
 
-/// Gateways that were asked at the same moment don't all come back at the same moment;
-/// the spread is a fourth of the backoff at most.
+/// Gateways that receive a backoff at the same moment don't all resume at the same
+/// moment; the spread is at most a quarter of the backoff.
 #[test]
-fn the_ends_of_many_gateways_are_spread() {
+fn the_backoff_ends_of_many_gateways_are_spread() {
     let ends: Vec<u64> = (0..400)
         .map(|number| {
             let mut gateway = gateway_of(&engines(), 400, number);
@@ -296,16 +297,17 @@
     assert!(in_any_50_ms.max() <= Some(60));
 }
 
-/// The list may go on to have it in service, and other answers may say nothing.
+/// The configuration may still list the back end as in service, and other answers may not
+/// report draining.
 #[rstest]
-fn a_back_end_that_drains_gets_nothing(#[values("till-a", "d-1", "p-1")] name: &str) {
+fn a_draining_back_end_gets_nothing(#[values("till-a", "d-1", "p-1")] name: &str) {
     let records = all();
     let mut gateway = forwarder(&records);
     assert!(gateway.note_draining(&id(name), NOW));
     assert!(!gateway.note_draining(&id(name), NOW), "no news");
     gateway.succeeded(&id(name));
-    let anew = configuration(6, table(2, &[("till", 1)]), &records);
-    gateway.update(WatchUpdate::Snapshot(anew.into()));
+    let updated = configuration(6, table(2, &[("till", 1)]), &records);
+    gateway.update(WatchUpdate::Snapshot(updated.into()));
     for late in [Millis::ZERO, Millis(3_000), Millis(60_000)] {
         assert!(!is_used(&mut gateway, name, NOW + late));
         assert!(!gateway.may_send(&id(name), NOW + late));
@@ -313,7 +315,7 @@
     }
 }
 
-/// Nobody is told to wait for the end of a backoff of an engine that leaves.
+/// No caller is told to wait for the backoff of an engine that leaves.
 #[test]
 fn a_draining_back_end_is_not_waited_for() {
     let mut gateway = forwarder(&instances());
@@ -324,9 +326,10 @@
     assert_eq!(gateway.all_in_backoff(&till(), &call(), NOW), None);
 }
 
-/// Where starts are not told, a back end that drained long ago has started again.
+/// If starts are not reported, a back end that drained long ago is assumed to have
+/// restarted.
 #[test]
-fn draining_does_not_last_for_ever() {
+fn draining_expires() {
     let mut gateway = forwarder(&instances());
     gateway.note_draining(&id("till-a"), NOW);
     assert!(gateway.may_send(&id("till-a"), NOW + Millis::from_secs(301)));
--- a/components/forwarding/tests/core/budgets.rs
+++ b/components/forwarding/tests/core/budgets.rs
@@ -1,19 +1,24 @@
-//! Repeats of all gateways together stay within what the operators allow.
+//! Repeats of all gateways together stay within the retry budget.
 
 use garnet_types::{Millis, ServiceId};
 use proptest::prelude::*;
 
 use crate::fleet::{NOW, forwarder};
 
-/// As [`most_with_restarts`], with gateways that run all the time.
-fn most_in_a_window(gateways: u64, requests: u64, seconds: u64) -> u64 {
-    most_with_restarts(gateways, requests, seconds, None)
+/// As [`max_repeats_with_restarts`], without a restart.
+fn max_repeats_in_a_window(gateways: u64, requests: u64, seconds: u64) -> u64 {
+    max_repeats_with_restarts(gateways, requests, seconds, None)
 }
 
-/// Most repeats that `gateways` let through in any window of ten seconds,
-/// with `requests` a second at each of them and as many repeats as possible.
-/// All of them may start anew at one moment, with no memory.
-fn most_with_restarts(gateways: u64, requests: u64, seconds: u64, restart: Option<u64>) -> u64 {
+/// Maximum number of repeats that `gateways` let through in any window of ten seconds,
+/// with `requests` per second at each of them and as many repeats as possible. All of
+/// them may restart in one second, without memory.
+fn max_repeats_with_restarts(
+    gateways: u64,
+    requests: u64,
+    seconds: u64,
+    restart: Option<u64>,
+) -> u64 {
     let service = ServiceId::new("till");
     let mut spent = vec![0_u64; seconds as usize];
     for gateway in 0..gateways {
@@ -40,7 +45,7 @@
     #![proptest_config(ProptestConfig::with_cases(40))]
     #[test]
     fn the_sum_stays_within_the_budget(gateways in 1_u64..70, requests in 0_u64..20) {
-        let most = most_in_a_window(gateways, requests, 30);
+        let most = max_repeats_in_a_window(gateways, requests, 30);
         let allowed = 50 + gateways * requests * 10 / 5;
         prop_assert!(most <= allowed, "{most} of {allowed}");
     }
@@ -49,17 +54,17 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(40))]
     #[test]
-    fn gateways_that_all_start_anew_stay_near_it(gateways in 1_u64..20, requests in 1_u64..20, restart in 1_u64..30) {
-        let most = most_with_restarts(gateways, requests, 30, Some(restart));
-        // What the former lives spent in the window is not known.
+    fn restarted_gateways_stay_near_the_budget(gateways in 1_u64..20, requests in 1_u64..20, restart in 1_u64..30) {
+        let most = max_repeats_with_restarts(gateways, requests, 30, Some(restart));
+        // What a gateway spent in the window before its restart is unknown.
         let allowed = 50 + gateways * requests * 10 / 5;
-        let slack_twice = 50 * 3 / 4;
-        prop_assert!(most <= allowed + slack_twice, "{most} of {allowed}");
+        let restart_slack = 50 * 3 / 4;
+        prop_assert!(most <= allowed + restart_slack, "{most} of {allowed}");
     }
 }
 
 #[test]
-fn repeats_come_in_a_burst_when_requests_went_well_before() {
+fn a_burst_of_repeats_is_allowed_after_successful_requests() {
     let service = ServiceId::new("till");
     let mut forwarder = forwarder(&[]);
     forwarder.set_gateways(7);
@@ -74,5 +79,5 @@
 
 #[test]
 fn a_service_with_traffic_gets_repeats() {
-    assert!(most_in_a_window(7, 5, 30) >= 50);
+    assert!(max_repeats_in_a_window(7, 5, 30) >= 50);
 }
--- a/components/forwarding/tests/core/configuration.rs
+++ b/components/forwarding/tests/core/configuration.rs
@@ -9,7 +9,7 @@
 use crate::fleet::{NOW, configuration, empty_forwarder, forwarder, prompt, record, table};
 
 #[test]
-fn an_older_snapshot_is_left_aside() {
+fn an_older_snapshot_is_ignored() {
     let mut forwarder = forwarder(&[]);
     let older = configuration(4, table(9, &[("other", 1)]), &[]);
     forwarder.update(WatchUpdate::Snapshot(older.into()));
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn changes_that_do_not_build_on_what_is_known_are_left_aside() {
+fn changes_that_do_not_follow_the_known_index_are_ignored() {
     let mut forwarder = forwarder(&[]);
     let change = ConfigurationChange::RoutesPut(Arc::new(table(3, &[("till", 1)])));
     let gap = WatchUpdate::Changes {
@@ -64,7 +64,8 @@
     assert!((28..=32).contains(&words), "{words}");
 }
 
-/// A forwarder that has just started and heard from a replica without a leader.
+/// A forwarder that has just started and has a configuration from a replica without a
+/// leader.
 fn with_unconfirmed() -> Forwarder {
     let mut forwarder = empty_forwarder();
     let known = configuration(5, table(1, &[("till", 1)]), &[]);
@@ -87,7 +88,7 @@
 }
 
 #[test]
-fn an_unconfirmed_configuration_replaces_none_that_is_known() {
+fn an_unconfirmed_configuration_does_not_replace_a_known_one() {
     let mut forwarder = forwarder(&[]);
     let other = configuration(9, table(3, &[("till", 1)]), &[]);
     forwarder.take_unconfirmed(Arc::new(other), NOW);
@@ -96,7 +97,7 @@
 }
 
 #[test]
-fn an_unconfirmed_configuration_is_given_up_in_time() {
+fn an_unconfirmed_configuration_expires() {
     let mut forwarder = with_unconfirmed();
     forwarder.forget_unconfirmed(NOW + Millis::from_secs(10));
     assert_eq!(forwarder.routes_version(), Some(1));
@@ -111,7 +112,7 @@
 }
 
 #[test]
-fn the_fixed_part_of_the_budgets_is_left_alone_until_it_is_known_who_shares_it() {
+fn the_fixed_part_of_the_budget_is_unused_while_unconfirmed() {
     let service = ServiceId::new("till");
     let mut forwarder = with_unconfirmed();
     assert!(!forwarder.spend_repeat(&service, NOW));
@@ -119,8 +120,9 @@
     assert!(forwarder.spend_repeat(&service, NOW));
 }
 
-/// Records that a gateway of `backends` back ends follows when one of them changes.
-fn followed(backends: usize) -> u64 {
+/// Number of records that a gateway with `backends` back ends applies when one of them
+/// changes.
+fn records_applied_by_one_change(backends: usize) -> u64 {
     let of = |number| record(&format!("i-{number:04}"), "till", "a", None);
     let records: Vec<_> = (0..backends).map(of).collect();
     let mut forwarder = forwarder(&records);
@@ -135,18 +137,18 @@
     forwarder.records_applied() - before
 }
 
-/// A gateway went through all records, and made them anew, with each change of one of
-/// them; it serves no request meanwhile.
+/// Guards against applying all records on each change: a gateway rebuilt all of them, and
+/// served no request meanwhile.
 #[test]
-fn a_change_costs_what_has_changed() {
-    assert_eq!(followed(300), 1);
-    assert_eq!(followed(600), 1);
+fn a_change_applies_only_the_changed_records() {
+    assert_eq!(records_applied_by_one_change(300), 1);
+    assert_eq!(records_applied_by_one_change(600), 1);
 }
 
-/// An engine starts again under its id: what it had read is gone, it does not leave,
-/// and its failures were another one's.
+/// A restarted engine under the same id has an empty cache and is not leaving, and the
+/// failures of its former start don't count against it.
 #[test]
-fn an_engine_that_starts_again_is_another_one() {
+fn a_restarted_engine_has_no_earlier_state() {
     let mut engine = record("i-1", "words", "a", Some(EngineRole::Prefill));
     let mut forwarder = forwarder(std::slice::from_ref(&engine));
     let id = BackendId::new("i-1");
--- a/components/forwarding/tests/core/connections.rs
+++ b/components/forwarding/tests/core/connections.rs
@@ -1,4 +1,5 @@
-//! Connections to back ends: each gateway has an even share of the bound in the route table.
+//! Connections to back ends: each gateway has an even share of the bound in the route
+//! table.
 
 use garnet_control::WatchUpdate;
 use garnet_forwarding::{ConnectionShare, Forwarder, Placement, Work};
@@ -73,9 +74,9 @@
     }
 }
 
-/// A gateway opened as many connections as it had requests under way.
+/// Guards against a gateway that opens as many connections as it has requests in flight.
 #[test]
-fn requests_go_where_a_connection_is_free_and_else_wait() {
+fn requests_wait_when_no_connection_is_free() {
     let mut gateway = gateway(9);
     let all = [id("till-a"), id("till-b")];
     for _ in 0..14 {
@@ -84,7 +85,7 @@
     }
     assert_eq!(place(&mut gateway, &[]), None);
     assert!(gateway.awaits_connection(&till(), &call(), &[], NOW));
-    // Who was at all of them waits for none.
+    // A request that has tried all back ends waits for no connection.
     assert!(!gateway.awaits_connection(&till(), &call(), &all, NOW));
     gateway.ended(&all[1], 1, None);
     assert_eq!(place(&mut gateway, &[]), Some(all[1].clone()));
@@ -102,9 +103,9 @@
     assert_eq!(place(&mut gateway, &[]), None);
 }
 
-/// Connections of a suspended gateway stay open after its lease is over.
+/// Connections of a suspended gateway stay open after its lease has expired.
 #[test]
-fn a_gateway_that_is_gone_counts_on_for_a_while() {
+fn a_gateway_that_left_still_counts_for_a_while() {
     let mut gateway = gateway(100);
     let in_use = |gateway: &Forwarder| gateway.connection_share(&id("till-a")).in_use;
     gateway.share_connections_among(4, NOW);
--- a/components/forwarding/tests/core/fleet.rs
+++ b/components/forwarding/tests/core/fleet.rs
@@ -1,4 +1,4 @@
-//! A configuration with engines and instances, and a forwarder that has it.
+//! Fixtures: records, configurations, and forwarders that have them.
 
 use std::sync::Arc;
 
@@ -56,7 +56,7 @@
         .collect()
 }
 
-/// Engines of one service with their roles.
+/// Engines of one service with these roles.
 pub fn engines_named(roles: &[(&str, EngineRole)]) -> Vec<BackendRecord> {
     let engine = |(id, role): &(&str, EngineRole)| record(id, "words", "a", Some(*role));
     roles.iter().map(engine).collect()
@@ -100,7 +100,7 @@
     }
 }
 
-/// A forwarder that knows nothing yet.
+/// A forwarder without a configuration.
 pub fn empty_forwarder() -> Forwarder {
     Forwarder::new(ForwarderSettings {
         zone: "a".into(),
@@ -131,7 +131,7 @@
     }
 }
 
-/// A prompt with a shared part and an own one.
+/// A prompt with a shared part and a part of its own.
 pub fn prompt(shared: u64, own: u64, tokens: u64) -> Prompt {
     let part = |id, tokens| PromptPart { id, tokens };
     Prompt {
@@ -142,8 +142,8 @@
     }
 }
 
-/// One of `gateways` gateways, before engines that hold 400,000 tokens each;
-/// `number` parts it from the others.
+/// One of `gateways` gateways, before engines with a cache of 400,000 tokens each;
+/// `number` makes its draws differ from its peers'.
 pub fn gateway_of(records: &[BackendRecord], gateways: u64, number: u64) -> Forwarder {
     let mut gateway = Forwarder::new(ForwarderSettings {
         zone: "a".into(),
@@ -177,9 +177,9 @@
     gateway
 }
 
-/// The gateway hears from the leader what the others have under way; nothing
-/// where a back end is not named.
-pub fn hear(gateway: &mut Forwarder, backlogs: &[Backlog]) {
+/// Delivers a digest of what peer gateways have in flight; back ends that are not named
+/// have nothing.
+pub fn receive_digest(gateway: &mut Forwarder, backlogs: &[Backlog]) {
     let ids: Vec<BackendId> = gateway.backend_ids().cloned().collect();
     let state = |id: &BackendId| {
         let backlog = backlogs.iter().find(|backlog| backlog.backend == *id);
@@ -191,9 +191,9 @@
         })
     };
     let states: Vec<BackendState> = ids.iter().map(state).collect();
-    let told = ToldDigest {
+    let leader_digest = ToldDigest {
         digest: LoadDigest::encode(MembersHash::of(ids.iter()), states),
         counted: None,
     };
-    gateway.take_digest(&told, NOW);
+    gateway.take_digest(&leader_digest, NOW);
 }
--- a/components/forwarding/tests/core/fleet_view.rs
+++ b/components/forwarding/tests/core/fleet_view.rs
@@ -1,4 +1,4 @@
-//! What a gateway believes of the fleet from the leader's digest.
+//! A gateway's estimates of the fleet, from the leader's digest.
 
 use garnet_control::{BackendRecord, BackendState, ByRank, LoadDigest, MembersHash, ToldDigest};
 use garnet_forwarding::{Forwarder, Placement};
@@ -12,7 +12,7 @@
     BackendId::new(format!("p-{number}"))
 }
 
-/// Prefill engines and one that decodes.
+/// Prefill engines and one engine that decodes.
 fn engines(prefill: usize) -> Vec<BackendRecord> {
     let prefill = (0..prefill).map(|number| {
         let id = format!("p-{number}");
@@ -26,7 +26,7 @@
     ServiceId::new("words")
 }
 
-/// A digest of these records, in which each back end is as `state` says.
+/// A digest of these records, with the state that `state` returns for each back end.
 fn digest(
     records: &[BackendRecord],
     counted: Option<Millis>,
@@ -71,18 +71,18 @@
     assert_eq!(own, 6_400);
     let report = gateway.report(NOW);
     assert_eq!(report.backlogs.len(), 1);
-    // The leader counts this gateway's report and 640 tokens of another one.
+    // The leader counts this gateway's report and 640 tokens of a peer.
     let all = |of: &BackendId| loaded(if *of == id(0) { 7_040 } else { 0 });
     let later = NOW + Millis(50);
     gateway.take_digest(&digest(&records, Some(NOW), all), later);
     assert_eq!(uncached(&gateway, &id(0), later), 7_040);
-    // It is prefilled here; what others have there is left.
+    // The own prompt is prefilled; the peer's tokens are left.
     gateway.prefilled(&id(0), 0, 6_400);
     assert_eq!(uncached(&gateway, &id(0), later), 640);
 }
 
 #[test]
-fn an_old_belief_turns_into_the_mean_and_not_into_idle() {
+fn an_old_estimate_converges_to_the_mean_and_not_to_idle() {
     let records = engines(4);
     let mut gateway = forwarder(&records);
     let all = |of: &BackendId| loaded(if *of == id(0) { 40_000 } else { 0 });
@@ -91,7 +91,7 @@
     assert_eq!(uncached(&gateway, &id(1), NOW), 0);
     let late = NOW + Millis::from_secs(20);
     for number in 0..4 {
-        // A quarter of what is queued at the four of them.
+        // A quarter of what is queued at all four.
         assert_eq!(uncached(&gateway, &id(number), late), 10_000);
     }
     let between = uncached(&gateway, &id(0), NOW + Millis(400));
@@ -99,16 +99,16 @@
 }
 
 #[test]
-fn a_digest_of_other_back_ends_is_left_aside() {
+fn a_digest_of_other_back_ends_is_ignored() {
     let records = engines(4);
     let mut gateway = forwarder(&records);
-    let told = digest(&engines(3), None, |_| loaded(40_000));
-    gateway.take_digest(&told, NOW);
+    let foreign = digest(&engines(3), None, |_| loaded(40_000));
+    gateway.take_digest(&foreign, NOW);
     assert_eq!(uncached(&gateway, &id(0), NOW), 0);
 }
 
 #[test]
-fn a_failing_engine_gets_nothing_while_others_are_sound() {
+fn a_failing_engine_gets_nothing_while_others_are_healthy() {
     let records = engines(3);
     let mut gateway = gateway_of(&records, 66, 1);
     gateway.take_digest(&digest(&records, None, failing(id(1))), NOW);
@@ -123,7 +123,7 @@
         };
         assert_ne!(prefill_engine, id(1));
     }
-    // The word of a leader that is gone does not hold for ever.
+    // The report of a leader that is gone expires.
     let late = NOW + Millis::from_secs(4);
     let backend = gateway.backend(&id(1)).expect("known");
     assert!(!backend.is_open(NOW, false) && backend.is_open(late, false));
@@ -142,7 +142,7 @@
 fn few_of_many_gateways_try_a_failing_engine() {
     let records = engines(3);
     for gateways in [8, 66, 295] {
-        let mut tries = 0;
+        let mut probes = 0;
         let seconds = 20;
         for number in 0..gateways {
             let mut gateway = gateway_of(&records, gateways, number);
@@ -150,16 +150,16 @@
                 let now = NOW + Millis::from_secs(second);
                 gateway.take_digest(&digest(&records, None, failing(id(1))), now);
                 let backend = gateway.backend(&id(1)).expect("known");
-                tries += u64::from(backend.is_open(now, false));
+                probes += u64::from(backend.is_open(now, false));
             }
         }
-        // One a second in the mean.
-        assert!((8..=40).contains(&tries), "{tries} of {gateways}");
+        // One probe per second on average.
+        assert!((8..=40).contains(&probes), "{probes} of {gateways}");
     }
 }
 
 #[test]
-fn what_refuses_connections_is_left_at_once_and_told() {
+fn a_refused_connection_closes_a_back_end_at_once_and_is_reported() {
     let records = engines(2);
     let mut gateway = forwarder(&records);
     gateway.sent(&id(0), Some(&prompt(1, 2, 6_300)), None, 0, NOW);
@@ -171,30 +171,31 @@
     assert_eq!(gateway.report(NOW).evidence, []);
 }
 
-/// Gateways with the same view, which is older than the time in which they all
-/// choose, don't send to the same engine.
+/// Gateways with equal estimates, older than the time in which all of them choose, don't
+/// send to the same engine.
 #[test]
-fn gateways_that_know_the_same_do_not_herd() {
+fn gateways_with_equal_estimates_do_not_herd() {
     let records = engines(60);
     let idle = |of: &BackendId| loaded(if *of == id(7) { 0 } else { 6_400 });
-    let mut to_the_idle_one = 0;
+    let mut to_idle_engine = 0;
     for number in 0..60 {
         let mut gateway = gateway_of(&records, 60, number);
         gateway.take_digest(&digest(&records, None, idle), NOW);
         let work = work(WorkKind::ResumableStream, Some(prompt(1, number, 350)));
         let placed = gateway.place(&words(), &work, &[], true, NOW);
         if let Some(Placement::Handover { prefill_engine, .. }) = placed {
-            to_the_idle_one += u32::from(prefill_engine == id(7));
+            to_idle_engine += u32::from(prefill_engine == id(7));
         }
     }
-    assert!(to_the_idle_one <= 12, "{to_the_idle_one} of 60");
+    assert!(to_idle_engine <= 12, "{to_idle_engine} of 60");
 }
 
-/// Gateways tell what all engines keep from what comes in at them.
+/// Gateways estimate how long engines keep a prefix from the prompts that arrive at
+/// themselves.
 #[rstest]
 #[case::few_prompts(1, 20_000, true)]
 #[case::as_many_as_fill_the_memory(295, 20_000, false)]
-fn a_prefix_is_believed_as_long_as_an_engine_keeps_it(
+fn a_prefix_is_assumed_cached_for_the_estimated_lifetime(
     #[case] gateways: u64,
     #[case] tokens: u64,
     #[case] is_held: bool,
--- a/components/forwarding/tests/core/limits.rs
+++ b/components/forwarding/tests/core/limits.rs
@@ -1,5 +1,5 @@
-//! Back ends that named how much they take from all gateways together: who is sent
-//! there, and who isn't.
+//! Placement and permits for back ends that report a rate limit for all gateways
+//! together.
 
 use garnet_control::{BackendRecord, EngineObservation, LimitUpdate, Shared};
 use garnet_forwarding::{Forwarder, Placement, ReportedLimit, Work};
@@ -38,7 +38,7 @@
     gateway.place(&ServiceId::new(service), work, &[], true, NOW)
 }
 
-/// The names that the leader is asked for.
+/// The back ends that the leader is asked about, with the number of the request.
 fn asked(gateway: &mut Forwarder, service: &str, work: &Work) -> (u64, Vec<BackendId>) {
     match gateway.ask_for_permit(&ServiceId::new(service), work, &[], NOW) {
         Asking::Ask(ask) => (ask.number, ask.backends),
@@ -55,32 +55,32 @@
 }
 
 fn list(gateway: &mut Forwarder, term: u64, names: &[&str]) -> Vec<BackendId> {
-    list_after(gateway, term, 0, names)
+    list_after_reports(gateway, term, 0, names)
 }
 
-/// The list of a leader that has applied the reports of this number.
-fn list_after(
+/// The list of a leader that has applied the reports up to this number.
+fn list_after_reports(
     gateway: &mut Forwarder,
     term: u64,
     reports_taken: u64,
     names: &[&str],
 ) -> Vec<BackendId> {
-    let told = |name: &&str| LimitEntry {
+    let entry = |name: &&str| LimitEntry {
         backend: id(name),
         rate: "2".parse().expect("a rate"),
     };
-    let limits: Vec<LimitEntry> = names.iter().map(told).collect();
-    let told = LimitUpdate {
+    let limits: Vec<LimitEntry> = names.iter().map(entry).collect();
+    let limit_update = LimitUpdate {
         term,
         number: 0,
         reports_taken,
         limits: Shared::from(limits),
     };
-    gateway.take_limits(&told, NOW)
+    gateway.take_limits(&limit_update, NOW)
 }
 
 #[test]
-fn work_goes_to_who_has_no_limit() {
+fn work_goes_to_back_ends_without_a_limit() {
     let mut gateway = forwarder(&instances());
     limit(&mut gateway, "till-a");
     for _ in 0..20 {
@@ -90,7 +90,7 @@
     }
 }
 
-/// One permit is one request, and it is over after its time.
+/// A permit covers one request, and it expires.
 #[test]
 fn a_permit_is_for_one_request() {
     let mut gateway = forwarder(&instances());
@@ -108,9 +108,9 @@
     assert_eq!(place(&mut gateway, "till", &call()), None);
 }
 
-/// An answer that nobody asked for gives nothing.
+/// An answer to a permit request that was not sent grants nothing.
 #[test]
-fn only_an_answer_to_a_question_is_a_permit() {
+fn only_a_requested_permit_is_accepted() {
     let mut gateway = forwarder(&instances());
     limit(&mut gateway, "till-a");
     grant(&mut gateway, 1, "till-a", false);
@@ -122,10 +122,10 @@
     assert!(!gateway.may_send(&id("till-a"), NOW));
 }
 
-/// Once refused, requests of that rank and less urgent ones don't ask again until the
+/// After a refusal, requests of the same or a lower priority don't ask again until the
 /// leader has a permit for them; more urgent ones do.
 #[test]
-fn the_leader_is_not_asked_in_vain() {
+fn a_refused_permit_is_not_requested_again_early() {
     let mut gateway = forwarder(&instances()[..1]);
     limit(&mut gateway, "till-a");
     let (number, _) = asked(&mut gateway, "till", &call());
@@ -146,7 +146,7 @@
 }
 
 #[test]
-fn a_cache_is_handed_to_an_engine_without_a_limit() {
+fn a_cache_is_transferred_to_an_engine_without_a_limit() {
     let mut gateway = forwarder(&engines());
     limit(&mut gateway, "g-1");
     limit(&mut gateway, "r-1");
@@ -160,10 +160,11 @@
     assert_eq!(decode, Some(id("g-2")));
 }
 
-/// Where all engines that generate have a limit, no prompt is read for them: a permit
-/// would be over by the time that it is read. The one with a permit does all of it.
+/// If all decode engines have a limit, no prompt is prefilled for them on another engine:
+/// a permit would expire before the prefill is done. The engine with a permit does the
+/// whole request.
 #[test]
-fn no_prompt_is_read_for_an_engine_with_a_limit() {
+fn no_prompt_is_prefilled_for_another_engine_with_a_limit() {
     let mut gateway = forwarder(&engines());
     limit(&mut gateway, "g-1");
     limit(&mut gateway, "g-2");
@@ -175,12 +176,16 @@
     assert_eq!(placed, Some(Placement::One(id("g-2"))));
 }
 
-/// An engine of which nobody has heard for long gets the next request, so that the
-/// end of its limit is heard.
+/// An engine whose limit was not reported for long gets the next request, so that the end
+/// of its limit is noticed.
 #[rstest]
 #[case::of_a_call("till", "till-a", call())]
 #[case::of_a_prompt("words", "r-1", stream())]
-fn one_that_is_due_comes_first(#[case] service: &str, #[case] due: &str, #[case] work: Work) {
+fn a_back_end_due_for_a_refresh_comes_first(
+    #[case] service: &str,
+    #[case] due: &str,
+    #[case] work: Work,
+) {
     let records = [instances(), engines()].concat();
     let mut gateway = forwarder(&records);
     limit(&mut gateway, due);
@@ -203,7 +208,7 @@
 /// All gateways together ask for a spare permit about as often as one gateway has
 /// requests.
 #[test]
-fn spare_permits_are_asked_for_in_turn() {
+fn gateways_take_turns_to_request_spare_permits() {
     let words = ServiceId::new("words");
     let mut asked = 0;
     for number in 0..50 {
@@ -221,12 +226,12 @@
 }
 
 #[test]
-fn a_limit_ends_by_the_word_of_the_leader() {
+fn a_limit_ends_when_the_leader_drops_it() {
     let mut gateway = forwarder(&instances());
     limit(&mut gateway, "till-a");
-    let heard = gateway.limit_reports(NOW).expect("it was heard");
-    assert_eq!(heard.reports.len(), 1);
-    // It has not applied the reports yet.
+    let first = gateway.limit_reports(NOW).expect("it was heard");
+    assert_eq!(first.reports.len(), 1);
+    // The leader has not applied the reports yet.
     assert_eq!(list(&mut gateway, 4, &[]), []);
     assert_eq!(list(&mut gateway, 4, &["till-a", "till-b"]), []);
     assert_eq!(gateway.limited_backends(), 2);
@@ -234,24 +239,26 @@
     assert!(gateway.may_send(&id("till-a"), NOW) && !gateway.may_send(&id("till-b"), NOW));
 }
 
-/// Another leader knows nothing: that its list is empty ends no limit, and it is told.
+/// The empty list of a new leader, which knows no limits, ends none; the limits are
+/// reported to it.
 #[test]
-fn another_leader_is_told_anew() {
+fn limits_are_reported_again_to_a_new_leader() {
     let mut gateway = forwarder(&instances());
     limit(&mut gateway, "till-a");
-    let _told = gateway.limit_reports(NOW);
+    let _sent = gateway.limit_reports(NOW);
     list(&mut gateway, 4, &["till-a", "till-b"]);
     assert_eq!(gateway.limit_reports(NOW), None);
     assert_eq!(list(&mut gateway, 5, &[]), []);
-    let told = gateway.limit_reports(NOW).expect("it is told anew");
-    assert_eq!(told.reports.len(), 2);
+    let resent = gateway.limit_reports(NOW).expect("it is told anew");
+    assert_eq!(resent.reports.len(), 2);
     assert_eq!(gateway.limited_backends(), 2);
 }
 
-/// Words may be lost on their way, and later ones not: what the list lacks is told with
-/// all that follow, until the leader that has taken the newest ones says otherwise.
+/// A report may be lost while later ones arrive: a limit that the leader's list lacks is
+/// contained in all later reports, until a leader that has applied the newest report
+/// drops it.
 #[test]
-fn words_that_are_lost_are_told_again() {
+fn lost_reports_are_sent_again() {
     let mut gateway = forwarder(&instances());
     list(&mut gateway, 4, &[]);
     limit(&mut gateway, "till-a");
@@ -259,36 +266,39 @@
     limit(&mut gateway, "till-b");
     let second = gateway.limit_reports(NOW).expect("news");
     assert_eq!(second.reports.len(), 2);
-    assert_eq!(list_after(&mut gateway, 4, lost.number, &[]), []);
+    assert_eq!(list_after_reports(&mut gateway, 4, lost.number, &[]), []);
     let both = ["till-a", "till-b"];
-    assert_eq!(list_after(&mut gateway, 4, second.number, &both), []);
+    assert_eq!(
+        list_after_reports(&mut gateway, 4, second.number, &both),
+        []
+    );
     assert_eq!(gateway.limit_reports(NOW), None);
 }
 
-/// An engine that has started again under its name has said nothing yet.
+/// An engine that has restarted under its name has not reported a limit yet.
 #[test]
-fn another_start_has_no_limit() {
+fn a_restarted_engine_has_no_limit() {
     let records = engines();
     let mut gateway = forwarder(&records);
     limit(&mut gateway, "g-1");
-    let mut again = records.clone();
-    again[2].observed = again[2].observed.clone().map(|seen| EngineObservation {
+    let mut restarted = records.clone();
+    restarted[2].observed = restarted[2].observed.clone().map(|seen| EngineObservation {
         incarnation: 2,
         ..seen
     });
-    let anew = configuration(6, table(1, &[("till", 1)]), &again);
-    gateway.update(garnet_control::WatchUpdate::Snapshot(anew.into()));
+    let updated = configuration(6, table(1, &[("till", 1)]), &restarted);
+    gateway.update(garnet_control::WatchUpdate::Snapshot(updated.into()));
     assert!(gateway.may_send(&id("g-1"), NOW));
     assert_eq!(gateway.limit_reports(NOW), None);
 }
 
-/// An answer without a name ends nothing where its request was sent before the limit
-/// was known: the engine may not have named it by then.
+/// An answer without a limit ends none if its request was sent before the limit was
+/// known: the engine may not have reported it by then.
 #[test]
-fn an_older_answer_tells_nothing() {
+fn an_older_answer_does_not_end_a_limit() {
     let mut gateway = forwarder(&instances());
     limit(&mut gateway, "till-a");
-    let _told = gateway.limit_reports(NOW);
+    let _sent = gateway.limit_reports(NOW);
     let later = NOW + Millis(1);
     gateway.note_limit(&id("till-a"), ReportedLimit::Unlimited, NOW, later);
     assert_eq!(gateway.limit_reports(later), None);
@@ -297,13 +307,13 @@
     assert_eq!(reports[0].rate, None);
 }
 
-/// The list of limits may come before the engines that it names.
+/// The list of limits may arrive before the engines that it names.
 #[test]
-fn a_limit_that_is_told_before_its_engine_is_kept() {
+fn a_limit_reported_before_its_engine_is_kept() {
     let mut gateway = forwarder(&instances()[..1]);
     list(&mut gateway, 4, &["till-b"]);
-    let anew = configuration(6, table(1, &[("till", 1)]), &instances());
-    gateway.update(garnet_control::WatchUpdate::Snapshot(anew.into()));
+    let updated = configuration(6, table(1, &[("till", 1)]), &instances());
+    gateway.update(garnet_control::WatchUpdate::Snapshot(updated.into()));
     for _ in 0..20 {
         let placed = place(&mut gateway, "till", &call());
         assert_eq!(placed, Some(Placement::One(id("till-a"))));
--- a/components/forwarding/tests/core/main.rs
+++ b/components/forwarding/tests/core/main.rs
@@ -1,4 +1,4 @@
-//! What a gateway decides about forwarded work.
+//! Decisions of a gateway about forwarded work.
 
 mod admission;
 mod attempts;
--- a/components/forwarding/tests/core/placement.rs
+++ b/components/forwarding/tests/core/placement.rs
@@ -1,11 +1,11 @@
-//! Where work goes.
+//! Placement of requests.
 
 use garnet_control::{BackendRecord, Backlog, ByRank, PromptCopy};
 use garnet_forwarding::{Forwarder, LoadReport, Placement, Prompt};
 use garnet_routes::WorkKind;
 use garnet_types::{BackendId, EngineRole, Millis, PrefixId, ServiceId};
 
-use crate::fleet::{NOW, forwarder, hear, prompt, record, work};
+use crate::fleet::{NOW, forwarder, prompt, receive_digest, record, work};
 
 fn instances() -> Vec<BackendRecord> {
     ["a", "b", "c"]
@@ -46,7 +46,7 @@
     }
 }
 
-/// The prefill engine and the engine that it copies from.
+/// The prefill engine, and the engine that it copies from.
 fn prefill(
     gateway: &mut Forwarder,
     prompt: Prompt,
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn an_owner_that_lacks_a_prefix_copies_it_from_who_was_told_to_hold_it() {
+fn an_owner_copies_a_missing_prefix_from_a_reported_holder() {
     let mut gateway = forwarder(&engines());
     let asked = prompt(7, 1, 20_000);
     let (owner, nowhere) = prefill(&mut gateway, asked.clone(), &[]);
@@ -75,31 +75,31 @@
         (prefill_engine, from.as_ref()),
         (owner.clone(), Some(&holder))
     );
-    // The other owner copies it as well, when the first one failed.
+    // The second owner copies it as well if the first one failed.
     let (second, from) = prefill(&mut gateway, asked.clone(), std::slice::from_ref(&owner));
     assert_ne!(second, owner);
     assert_eq!(from, Some(holder.clone()));
-    // What the owner is known to hold itself is not copied.
+    // An owner that holds the prefix itself copies nothing.
     gateway.note_cached(&owner, &asked, NOW);
     assert_eq!(prefill(&mut gateway, asked, &[]), (owner, None));
 }
 
 #[test]
-fn a_prefix_is_not_copied_before_it_is_read_nor_long_after() {
+fn a_prefix_is_copied_neither_before_its_prefill_nor_long_after() {
     let mut gateway = forwarder(&engines());
     let asked = prompt(7, 1, 20_000);
     let holder = BackendId::new("g-b");
     gateway.sent(&holder, Some(&asked), None, 0, NOW);
     assert_eq!(prefill(&mut gateway, asked.clone(), &[]).1, None);
-    let told = [copy(asked.shared_prefix(), &BackendId::new("g-a1"))];
+    let reported = [copy(asked.shared_prefix(), &BackendId::new("g-a1"))];
     let long_ago = Millis::ZERO;
     assert!(NOW.since(long_ago) >= Millis(10_000));
-    gateway.note_copies(&told, long_ago);
+    gateway.note_copies(&reported, long_ago);
     assert_eq!(prefill(&mut gateway, asked, &[]).1, None);
 }
 
 #[test]
-fn others_are_told_of_a_copy_once() {
+fn a_copy_is_reported_to_peers_once() {
     let mut gateway = forwarder(&engines());
     let asked = prompt(7, 1, 20_000);
     let prefill_engine = BackendId::new("r-a");
@@ -110,14 +110,14 @@
         [copy(asked.shared_prefix(), &prefill_engine)]
     );
     assert_eq!(gateway.report(NOW).copies, []);
-    // What another gateway told is known to all.
+    // A copy that a peer reported is known to all gateways and is not reported again.
     gateway.note_copies(&[copy(asked.shared_prefix(), &BackendId::new("r-b"))], NOW);
     gateway.note_cached(&BackendId::new("r-b"), &asked, NOW);
     assert_eq!(gateway.report(NOW).copies, []);
 }
 
 #[test]
-fn a_short_prefix_is_read_wherever_least_waits() {
+fn a_short_prefix_is_prefilled_at_the_shortest_queue() {
     let mut all = engines();
     all.push(record("r-c", "words", "c", Some(EngineRole::Prefill)));
     let mut gateway = forwarder(&all);
@@ -128,18 +128,18 @@
         uncached: ByRank::at(0, 90_000),
         held_tokens: 90_000,
     };
-    for (idle, others) in [
+    for (idle, busy_ids) in [
         ("r-a", ["r-b", "r-c"]),
         ("r-b", ["r-a", "r-c"]),
         ("r-c", ["r-a", "r-b"]),
     ] {
-        hear(&mut gateway, &others.map(busy));
+        receive_digest(&mut gateway, &busy_ids.map(busy));
         assert_eq!(prefill(&mut gateway, short.clone(), &[]).0.as_str(), idle);
     }
 }
 
 #[test]
-fn the_own_zone_takes_application_work_until_it_is_busier() {
+fn application_work_stays_in_the_zone_until_it_is_busier() {
     let till = ServiceId::new("till");
     let work = work(WorkKind::Repeatable, None);
     let mut forwarder = forwarder(&instances());
@@ -157,7 +157,7 @@
 }
 
 #[test]
-fn a_back_end_that_failed_lately_is_better_than_none() {
+fn a_recently_failed_back_end_is_better_than_none() {
     let till = ServiceId::new("till");
     let work = work(WorkKind::Repeatable, None);
     let mut forwarder = forwarder(&instances()[..1]);
@@ -175,7 +175,7 @@
 }
 
 #[test]
-fn a_shared_prefix_is_read_by_one_engine_for_all_gateways() {
+fn all_gateways_prefill_a_shared_prefix_at_the_same_engine() {
     let words = ServiceId::new("words");
     let mut first = forwarder(&engines());
     let mut second = forwarder(&engines());
@@ -191,7 +191,7 @@
 }
 
 #[test]
-fn a_prompt_that_is_held_is_not_handed_over() {
+fn a_cached_prompt_is_not_handed_over() {
     let words = ServiceId::new("words");
     let mut forwarder = forwarder(&engines());
     let held = prompt(7, 1, 400);
@@ -212,7 +212,7 @@
     let first = gateway.place_decode(&words, &prefill_engine, &[], NOW);
     let first = first.expect("one in the zone");
     assert!(first.as_str().starts_with("g-a"), "{first}");
-    // It begins to leave while the prompt is prefilled.
+    // It is listed as leaving while the prompt is prefilled.
     for record in &mut all {
         if record.registration.id == first {
             record.machine = garnet_types::MachineState::Leaving;
@@ -225,7 +225,7 @@
 }
 
 #[test]
-fn a_queue_elsewhere_sends_a_prefix_to_its_second_owner() {
+fn a_queue_at_the_first_owner_sends_a_prefix_to_the_second() {
     let words = ServiceId::new("words");
     let work = work(WorkKind::Stream, Some(prompt(7, 1, 20_000)));
     let mut gateway = forwarder(&engines());
@@ -236,28 +236,31 @@
         uncached: ByRank::at(0, 90_000),
         held_tokens: 90_000,
     };
-    hear(&mut gateway, &[backlog]);
+    receive_digest(&mut gateway, &[backlog]);
     let placed = gateway.place(&words, &work, &[], true, NOW);
     assert_ne!(prefill_engine_of(placed), prefill_engine);
 }
 
 #[test]
-fn short_prefills_come_before_long_ones_and_urgent_routes_before_others() {
-    let rank = |priority, uncached| {
+fn short_prefills_and_urgent_routes_have_priority() {
+    let priority_at_engine = |priority, uncached| {
         let mut work = work(WorkKind::Stream, Some(prompt(1, 2, 40_000)));
         work.priority = priority;
         work.engine_priority(uncached)
     };
-    assert!(rank(1, 500) < rank(1, 9_000));
-    assert!(rank(1, 9_000) < rank(1, 40_000));
-    assert!(rank(0, 9_000) < rank(2, 9_000));
-    assert!(rank(2, 500) < rank(0, 40_000), "it holds nobody up");
-    assert_eq!(rank(0, 0), 0);
-    assert_eq!(rank(255, 40_000), 9);
+    assert!(priority_at_engine(1, 500) < priority_at_engine(1, 9_000));
+    assert!(priority_at_engine(1, 9_000) < priority_at_engine(1, 40_000));
+    assert!(priority_at_engine(0, 9_000) < priority_at_engine(2, 9_000));
+    assert!(
+        priority_at_engine(2, 500) < priority_at_engine(0, 40_000),
+        "it holds nobody up"
+    );
+    assert_eq!(priority_at_engine(0, 0), 0);
+    assert_eq!(priority_at_engine(255, 40_000), 9);
 }
 
 #[test]
-fn what_an_engine_holds_or_copies_need_not_be_read() {
+fn cached_and_copied_tokens_are_not_prefilled() {
     let mut gateway = forwarder(&engines());
     let holder = BackendId::new("r-a");
     let other = BackendId::new("r-b");
@@ -272,7 +275,7 @@
 }
 
 #[test]
-fn the_name_of_a_prefix_is_read_as_it_is_written() {
+fn a_prefix_id_round_trips_as_text() {
     let prefix = prompt(7, 1, 20_000).shared_prefix();
     assert_eq!(prefix.to_string().parse(), Ok(prefix));
     assert!("no prefix".parse::<PrefixId>().is_err());
--- a/components/forwarding/tests/core/quarantine.rs
+++ b/components/forwarding/tests/core/quarantine.rs
@@ -1,4 +1,4 @@
-//! Requests under which back ends end, at a forwarding gateway.
+//! Requests that crash back ends, at a forwarding gateway.
 
 use std::collections::BTreeSet;
 
@@ -39,7 +39,7 @@
     forwarder.run_crashed(request(path), &BackendId::new(engine), NOW);
 }
 
-/// Where a suspected request may go.
+/// Back ends that a suspected request may use.
 fn own(forwarder: &Forwarder, path: &str, tried: &[BackendId]) -> BTreeSet<BackendId> {
     let service = ServiceId::new("words");
     let left_out = forwarder.excluded_for_suspect(&service, request(path), tried, NOW);
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn a_gateway_that_knows_nothing_looks_nothing_up() {
+fn no_lookup_is_needed_without_suspects() {
     let mut forwarder = decode_engines(4);
     assert!(forwarder.has_no_suspects());
     crash(&mut forwarder, "/bad", "d0");
@@ -79,10 +79,10 @@
     assert!(forwarder.has_no_suspects());
 }
 
-/// An operator let it run again, and the gateway that had seen three engines
-/// end under it went on refusing it by its own sight.
+/// An operator released the request, but a gateway that had seen three engines crash
+/// under it kept refusing it on its own evidence.
 #[test]
-fn what_is_released_is_forgotten_here_too() {
+fn a_release_clears_the_gateways_own_crash_record() {
     let mut forwarder = decode_engines(4);
     for engine in ["d0", "d1", "d2"] {
         crash(&mut forwarder, "/bad", engine);
@@ -115,7 +115,7 @@
     }
 }
 
-/// So that those that merely stood beside a crash part from its cause.
+/// Spreading separates requests that only ran beside a crash from the one that caused it.
 #[test]
 fn suspected_requests_are_spread_over_the_engines() {
     let forwarder = decode_engines(8);
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn an_engine_that_was_tried_is_left_for_the_next_one() {
+fn a_suspected_request_moves_on_from_a_tried_engine() {
     let forwarder = decode_engines(3);
     let first: Vec<BackendId> = own(&forwarder, "/bad", &[]).into_iter().collect();
     let second = own(&forwarder, "/bad", &first);
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn what_the_leader_has_in_view_is_kept_until_it_says_otherwise() {
+fn reported_suspects_stay_until_the_leader_replaces_them() {
     let mut forwarder = decode_engines(3);
     forwarder.take_suspects(Suspects {
         suspected: vec![request("/near")],
--- a/components/forwarding/tests/core/split_fleet.rs
+++ b/components/forwarding/tests/core/split_fleet.rs
@@ -1,8 +1,8 @@
-//! The same fleet under the same load, before one gateway or before hundreds:
-//! decisions may not grow worse by more than a bound.
+//! The same fleet under the same load, behind one gateway or behind hundreds: decisions
+//! may not get worse by more than a bound.
 //!
-//! Virtual time. Engines prefill one prompt after the other and keep what they
-//! prefilled; gateways report and hear of the others as often as real ones.
+//! Runs in virtual time. Engines prefill one prompt at a time and cache it; gateways
+//! report and receive digests at the intervals of the real ones.
 
 use std::collections::{BTreeMap, HashSet, VecDeque};
 
@@ -19,24 +19,24 @@
 use crate::fleet::{NOW, gateway_of, prompt, record, work};
 
 const ENGINES: usize = 60;
-/// Shared prefixes in use.
+/// Number of shared prefixes in use.
 const PREFIXES: u64 = 200;
 const SHARED_TOKENS: u64 = 9_000;
-/// Of the fleet's traffic: with all prefixes cached, engines are half occupied.
+/// Traffic of the whole fleet: with all prefixes cached, engines are half occupied.
 const PROMPTS_PER_S: u64 = 400;
 const TOKENS_PER_MS: u64 = 40;
 const LENGTH: Millis = Millis::from_secs(6);
-/// Waits count from here on.
+/// Waits count after this warm-up.
 const WARM_AFTER: Millis = Millis::from_secs(2);
 
-/// As `garnet-forwarding-shell` asks.
+/// The watch interval of `garnet-forwarding-shell`.
 fn interval_ms(gateways: u64) -> u64 {
     (gateways * 4).clamp(30, 250)
 }
 
 #[derive(Default)]
 struct Engine {
-    /// Gateway, prompt, the tokens that the gateway believed uncached.
+    /// Gateway, prompt, uncached tokens as estimated by the gateway, arrival time.
     queue: VecDeque<(usize, Prompt, u64, Millis)>,
     busy_until: Option<Millis>,
     held: HashSet<PrefixId>,
@@ -48,7 +48,7 @@
     ids: Vec<BackendId>,
     reports: BTreeMap<usize, (Millis, Vec<Backlog>)>,
     copies: Vec<(usize, PromptCopy)>,
-    heard_copies: Vec<usize>,
+    copies_received: Vec<usize>,
     waits_ms: Vec<u64>,
 }
 
@@ -66,22 +66,22 @@
             ids: (0..ENGINES).map(|n| BackendId::new(name(n))).collect(),
             reports: BTreeMap::new(),
             copies: Vec::new(),
-            heard_copies: vec![0; gateways as usize],
+            copies_received: vec![0; gateways as usize],
             waits_ms: Vec::new(),
         }
     }
 
-    /// A gateway reports to the leader and hears of the others.
+    /// A gateway sends its report to the leader and receives the digest.
     fn watch(&mut self, number: usize, now: Millis) {
         let report = self.gateways[number].report(now);
         self.reports.insert(number, (now, report.backlogs));
-        let told = report.copies.into_iter().map(|copy| (number, copy));
-        self.copies.extend(told);
+        let reported = report.copies.into_iter().map(|copy| (number, copy));
+        self.copies.extend(reported);
         let mut states = vec![BackendState::default(); ENGINES + 1];
         for (_, backlogs) in self.reports.values() {
             for backlog in backlogs {
-                let place = self.ids.iter().position(|id| *id == backlog.backend);
-                if let Some(state) = place.map(|place| &mut states[place]) {
+                let engine_index = self.ids.iter().position(|id| *id == backlog.backend);
+                if let Some(state) = engine_index.map(|engine_index| &mut states[engine_index]) {
                     state.requests += backlog.requests;
                     state.uncached += backlog.uncached;
                     state.held_tokens += backlog.held_tokens;
@@ -96,10 +96,12 @@
         };
         let gateway = &mut self.gateways[number];
         gateway.take_digest(&digest, now);
-        let from = std::mem::replace(&mut self.heard_copies[number], self.copies.len());
-        let news = self.copies[from..].iter().filter(|(by, _)| *by != number);
-        let news: Vec<PromptCopy> = news.map(|(_, copy)| copy.clone()).collect();
-        gateway.note_copies(&news, now);
+        let start = std::mem::replace(&mut self.copies_received[number], self.copies.len());
+        let updates = self.copies[start..]
+            .iter()
+            .filter(|(gateway_index, _)| *gateway_index != number);
+        let updates: Vec<PromptCopy> = updates.map(|(_, copy)| copy.clone()).collect();
+        gateway.note_copies(&updates, now);
     }
 
     fn arrive(&mut self, number: usize, prompt: Prompt, now: Millis) {
@@ -115,37 +117,38 @@
             panic!("not handed over: {placed:?}");
         };
         let sent = gateway.sent(&prefill_engine, Some(&prompt), copy_from.as_ref(), 0, now);
-        let place = self.ids.iter().position(|id| *id == prefill_engine);
-        let place = place.expect("a known engine");
+        let engine_index = self.ids.iter().position(|id| *id == prefill_engine);
+        let engine_index = engine_index.expect("a known engine");
         let source = copy_from.and_then(|from| self.ids.iter().position(|id| *id == from));
         let shared = prompt.shared_prefix();
-        // What the source holds is copied in no time.
+        // A copy from a source that holds the prefix takes no time.
         if source.is_some_and(|source| self.engines[source].held.contains(&shared)) {
-            self.engines[place].held.insert(shared);
+            self.engines[engine_index].held.insert(shared);
         }
-        let engine = &mut self.engines[place];
+        let engine = &mut self.engines[engine_index];
         engine.queue.push_back((number, prompt, sent.uncached, now));
     }
 
-    /// Lets the engines work until `now`.
+    /// Advances the engines to `now`.
     fn work(&mut self, now: Millis) {
-        for place in 0..ENGINES {
-            let engine = &mut self.engines[place];
+        for engine_index in 0..ENGINES {
+            let engine = &mut self.engines[engine_index];
             if engine.busy_until.is_some_and(|until| until > now) {
                 continue;
             }
             if engine.busy_until.take().is_some()
-                && let Some((by, prompt, uncached, came)) = engine.queue.pop_front()
+                && let Some((gateway_index, prompt, uncached, arrived_at)) =
+                    engine.queue.pop_front()
             {
                 engine.held.insert(prompt.shared_prefix());
-                let id = &self.ids[place];
-                let gateway = &mut self.gateways[by];
+                let id = &self.ids[engine_index];
+                let gateway = &mut self.gateways[gateway_index];
                 gateway.prefilled(id, 0, uncached);
                 gateway.note_cached(id, &prompt, now);
                 gateway.ended(id, 0, Some(&prompt));
-                gateway.note_prefill(id, uncached, now.since(came));
-                if came >= NOW + WARM_AFTER {
-                    self.waits_ms.push(now.since(came).0);
+                gateway.note_prefill(id, uncached, now.since(arrived_at));
+                if arrived_at >= NOW + WARM_AFTER {
+                    self.waits_ms.push(now.since(arrived_at).0);
                 }
             }
             if let Some((_, prompt, _, _)) = engine.queue.front() {
@@ -157,7 +160,7 @@
     }
 }
 
-/// Mean time of a prefill with its wait.
+/// Mean time of a prefill, waiting included.
 fn mean_ms(gateways: u64) -> f64 {
     let mut fleet = Fleet::new(gateways);
     let mut rng = Pcg64Mcg::seed_from_u64(22);
@@ -166,17 +169,17 @@
     for step in 0..LENGTH.0 {
         let now = NOW + Millis(step);
         for number in 0..gateways {
-            // Gateways ask one after the other, spread over the interval.
+            // The gateways' turns are spread over the interval.
             if (step + number * interval / gateways).is_multiple_of(interval) {
                 fleet.watch(number as usize, now);
             }
         }
         fleet.work(now);
         while due_ms <= step as f64 {
-            let by = rng.random_range(0..gateways) as usize;
+            let gateway_index = rng.random_range(0..gateways) as usize;
             let own = rng.random();
             let asked = prompt(rng.random_range(0..PREFIXES), own, SHARED_TOKENS);
-            fleet.arrive(by, asked, now);
+            fleet.arrive(gateway_index, asked, now);
             let gap: f64 = rng.random_range(0.0..2.0);
             due_ms += gap * 1000.0 / PROMPTS_PER_S as f64;
         }
@@ -189,7 +192,7 @@
 #[case(8)]
 #[case(66)]
 #[case(295)]
-fn more_gateways_decide_about_as_well_as_one(#[case] gateways: u64) {
+fn many_gateways_decide_about_as_well_as_one(#[case] gateways: u64) {
     let alone = mean_ms(1);
     let split = mean_ms(gateways);
     assert!(
--- a/components/forwarding/tests/core/usage.rs
+++ b/components/forwarding/tests/core/usage.rs
@@ -1,4 +1,4 @@
-//! A gateway's meter of usage: counts until they are in the log.
+//! The usage meter of a gateway reports counts until they are in the log.
 
 use garnet_control::{UsageReceipt, UsageReport};
 use garnet_forwarding::UsageMeter;
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn counts_are_told_until_they_are_in_the_log() {
+fn counts_are_reported_until_they_are_in_the_log() {
     let mut meter = meter();
     begin(&mut meter, "one", 10_000);
     assert_eq!(meter.report().number, 1);
@@ -65,9 +65,9 @@
     assert!(!meter.has_unlogged());
 }
 
-/// A count that grew after it was told is told again, as the whole.
+/// A count that grew after it was reported is reported again in full.
 #[test]
-fn a_count_that_grew_is_told_again() {
+fn a_count_that_grew_is_reported_again() {
     let mut meter = meter();
     begin(&mut meter, "one", 10_000);
     let first = meter.report().number;
@@ -79,13 +79,16 @@
 #[rstest]
 #[case::logged_before(1, 0)]
 #[case::never_logged(0, 2)]
-fn what_was_not_logged_before_the_closing_is_lost(#[case] logged: u64, #[case] lost: u64) {
+fn unlogged_counts_are_lost_when_their_window_closes(#[case] logged: u64, #[case] lost: u64) {
     let mut meter = meter();
     begin(&mut meter, "one", 10_000);
     begin(&mut meter, "one", 10_000);
     begin(&mut meter, "one", 15_000);
-    let told = meter.report().number;
-    assert_eq!(meter.take(&receipt(logged * told, Some(2)), NOW), lost);
+    let last_report = meter.report().number;
+    assert_eq!(
+        meter.take(&receipt(logged * last_report, Some(2)), NOW),
+        lost
+    );
     let left = if logged == 1 {
         vec![]
     } else {
@@ -94,13 +97,13 @@
     assert_eq!(counts(&meter.report()), left);
 }
 
-/// Windows go by the leader's time, not by this process's clock.
+/// Windows follow the leader's time, not this process's clock.
 #[rstest]
 #[case::ahead(3_000, 2)]
 #[case::behind(8_000, 3)]
-fn windows_go_by_the_leaders_time(#[case] at: u64, #[case] window: u64) {
+fn windows_follow_the_leaders_time(#[case] at: u64, #[case] window: u64) {
     let mut meter = meter();
-    // It is 12 s, and this process reads 4 s.
+    // The leader's time is 12 s, this process's clock shows 4 s.
     meter.take(&receipt(0, None), Millis(4_000));
     begin(&mut meter, "one", at);
     assert_eq!(counts(&meter.report())[0].0, window);
--- a/components/forwarding/tests/pace.rs
+++ b/components/forwarding/tests/pace.rs
@@ -1,13 +1,13 @@
-//! What is learned of the engines' pace.
+//! Models of prefill and token times that are learned from observed requests.
 
 use garnet_forwarding::{PrefillPace, Prompt, TokenTime};
 use garnet_types::Millis;
 use proptest::prelude::*;
 
 proptest! {
-    /// A pace with a fixed part is found whatever it is.
+    /// A linear prefill time with a fixed share is learned for any slope and offset.
     #[test]
-    fn the_line_is_found(tokens_per_ms in 5_u64..500, fixed_ms in 0_u64..50) {
+    fn the_fitted_line_predicts_a_linear_pace(tokens_per_ms in 5_u64..500, fixed_ms in 0_u64..50) {
         let mut pace = PrefillPace::default();
         let took = |tokens: u64| tokens / tokens_per_ms + fixed_ms;
         for tokens in [500, 4_000, 12_000, 30_000].repeat(300) {
@@ -20,9 +20,9 @@
         }
     }
 
-    /// Whatever was seen, more tokens never take less time.
+    /// For any samples, more tokens never take less time.
     #[test]
-    fn longer_is_never_sooner(seen in prop::collection::vec((1_u64..50_000, 0_u64..5_000), 1..60)) {
+    fn more_tokens_never_take_less_time(seen in prop::collection::vec((1_u64..50_000, 0_u64..5_000), 1..60)) {
         let mut pace = PrefillPace::default();
         for (tokens, took) in seen {
             pace.note(tokens, Millis(took));
@@ -34,14 +34,14 @@
 }
 
 #[test]
-fn before_the_first_prefill_a_slow_engine_is_taken_for_granted() {
+fn a_slow_engine_is_assumed_before_the_first_prefill() {
     let pace = PrefillPace::default();
     assert!((pace.expected_ms(2_000) - 100.0).abs() < 1.0);
     assert!(pace.time_limit(20_000) >= Millis(4_000));
 }
 
 #[test]
-fn the_time_of_a_token_is_that_of_whole_requests() {
+fn the_token_time_is_averaged_over_whole_requests() {
     let mut time = TokenTime::default();
     assert_eq!(time.expected_ms(1_000.0), 0.0);
     time.note(100, Millis(100));
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_guess_beyond_the_most_is_cut() {
+fn a_guess_beyond_the_maximum_is_clamped() {
     let prompt = Prompt {
         tokens: 10,
         output_tokens: 100,
