--- a/components/forwarding-shell/src/stream/search.rs
+++ b/components/forwarding-shell/src/stream/search.rs
@@ -119,7 +119,7 @@
     pub(super) fn begin_beside(&mut self) -> bool {
         self.note_tried();
         let begins = can_go_elsewhere(&self.gateway, &self.running, true)
-            && go_on_beside(&self.gateway, &mut self.running, Progress::note_silent);
+            && go_on_beside(&self.gateway, &mut self.running, Progress::silent_begun);
         if begins {
             log::info!(
                 request = self.running.call.facts.id.as_str(),
--- a/components/forwarding-shell/src/whole.rs
+++ b/components/forwarding-shell/src/whole.rs
@@ -140,7 +140,7 @@
         running.tried.push(job.backend.clone());
     }
     can_go_elsewhere(gateway, running, false)
-        && go_on_beside(gateway, running, Progress::note_silent)
+        && go_on_beside(gateway, running, Progress::silent_begun)
 }
 
 /// Has others do the work beside a back end that is silent: whoever answers first
--- a/components/forwarding/src/attempts.rs
+++ b/components/forwarding/src/attempts.rs
@@ -82,7 +82,7 @@
 
     /// Counts an attempt whose back end is silent, while another back end is tried beside
     /// it.
-    pub fn note_silent(&mut self) {
+    pub fn silent_begun(&mut self) {
         self.silent += 1;
     }
 
--- a/components/forwarding/src/placement.rs
+++ b/components/forwarding/src/placement.rs
@@ -9,16 +9,16 @@
 use crate::residency::Residency;
 use crate::work::Prompt;
 
-/// Requests that a local back end may have more than others before work leaves the zone:
-/// another zone costs latency and traffic.
+/// Number of requests by which a local back end may exceed others before work leaves the
+/// zone: another zone costs latency and traffic.
 const ZONE_ADVANTAGE_REQUESTS: u64 = 2;
 /// Cost of a token that a mixed engine prefills, in tokens of a prefill engine: a mixed
 /// engine prefills at half the pace, and everything that it decodes slows down meanwhile.
 const MIXED_PREFILL_COST_FACTOR: u64 = 200;
 /// Cost of a KV transfer, in prompt tokens that could be prefilled in its time.
 const HANDOVER_COST_TOKENS: u64 = 1_500;
-/// Tokens that a decode engine in the prefill engine's zone may hold more than others
-/// before a KV cache is moved to another zone.
+/// Number of tokens by which a decode engine in the prefill engine's zone may exceed
+/// others before a KV cache is moved to another zone.
 const ZONE_MOVE_TOKENS: u64 = 100_000;
 /// Where a request is sent.
 #[derive(Debug, Clone, PartialEq, Eq)]
--- a/components/forwarding/tests/core/attempts.rs
+++ b/components/forwarding/tests/core/attempts.rs
@@ -97,12 +97,12 @@
         ran,
         ..Progress::default()
     };
-    progress.note_silent();
+    progress.silent_begun();
     let next = next_move(&work(kind, None), &progress, AttemptEnd::Broken);
     assert_eq!(next, expected);
     progress.silent_resumed();
     assert_eq!((progress.ran, progress.silent), (ran, 0));
-    progress.note_silent();
+    progress.silent_begun();
     progress.silent_ended();
     assert_eq!((progress.ran, progress.silent), (ran + 1, 0));
 }
