--- a/components/gateway/tests/core/availability.rs
+++ b/components/gateway/tests/core/availability.rs
@@ -26,8 +26,8 @@
     harness.attempt(dispatched.attempt, AttemptEvent::Response(response));
 }
 
-/// The back ends that many calls, one after the other, are sent to; each is answered.
-fn used_by_calls(harness: &mut Harness, first: u64) -> Vec<BackendId> {
+/// Sends 20 application calls, answers each before the next, and returns the back ends used.
+fn backends_used_by_calls(harness: &mut Harness, first: u64) -> Vec<BackendId> {
     let call = |number| {
         harness.event(order(first + number, "POST", None));
         let dispatched = harness.dispatch();
@@ -37,8 +37,8 @@
     (0..20).map(call).collect()
 }
 
-/// The same for texts, which are generated at once.
-fn used_by_texts(harness: &mut Harness, first: u64) -> Vec<BackendId> {
+/// Sends 20 completions, each ended after its first token, and returns the engines used.
+fn engines_used_by_completions(harness: &mut Harness, first: u64) -> Vec<BackendId> {
     let mut used = Vec::new();
     for number in 0..20 {
         harness.event(completion(first + number, None));
@@ -54,13 +54,13 @@
 }
 
 #[rstest]
-#[case::calls(order(1, "POST", None), used_by_calls, Millis(2_500))]
-#[case::texts(completion(1, None), used_by_texts, Millis(1_500))]
+#[case::calls(order(1, "POST", None), backends_used_by_calls, Millis(2_500))]
+#[case::texts(completion(1, None), engines_used_by_completions, Millis(1_500))]
 fn a_back_end_in_backoff_gets_nothing(
     #[case] first: Event,
     #[case] used: fn(&mut Harness, u64) -> Vec<BackendId>,
-    // An engine that reports no load is taken for silent after 2 s.
-    #[case] later: Millis,
+    // An engine that reports no load counts as silent after 2 s.
+    #[case] wait_time: Millis,
 ) {
     let mut harness = Harness::ready();
     harness.event(first);
@@ -69,32 +69,36 @@
     let other = harness.dispatch();
     assert_ne!(other.backend, rejected.backend);
     assert!(!used(&mut harness, 10).contains(&rejected.backend));
-    harness.wait_with_lease(later);
+    harness.wait_with_lease(wait_time);
     assert!(!used(&mut harness, 100).contains(&rejected.backend));
 }
 
 #[rstest]
-#[case::calls(order(1, "POST", None), used_by_calls, Millis(5_000))]
-#[case::texts(completion(1, None), used_by_texts, Millis(1_500))]
+#[case::calls(order(1, "POST", None), backends_used_by_calls, Millis(5_000))]
+#[case::texts(completion(1, None), engines_used_by_completions, Millis(1_500))]
 fn a_back_end_that_reports_draining_gets_nothing(
     #[case] first: Event,
     #[case] used: fn(&mut Harness, u64) -> Vec<BackendId>,
-    #[case] later: Millis,
+    #[case] wait_time: Millis,
 ) {
     let mut harness = Harness::ready();
     harness.event(first);
     let draining = harness.dispatch();
     harness.attempt(draining.attempt, AttemptEvent::Draining);
     assert!(!used(&mut harness, 10).contains(&draining.backend));
-    harness.wait_with_lease(later);
+    harness.wait_with_lease(wait_time);
     assert!(!used(&mut harness, 100).contains(&draining.backend));
 }
 
-/// Who can't be served hears at once when the first back end takes requests again.
+/// If all back ends are in backoff, callers are refused at once, with the time until the first
+/// back end accepts requests again.
 #[rstest]
 #[case::calls(order(1, "POST", None), order(2, "POST", None))]
 #[case::texts(completion(1, None), completion(2, None))]
-fn where_all_are_in_backoff_callers_are_told_its_end(#[case] first: Event, #[case] next: Event) {
+fn if_all_are_in_backoff_callers_get_its_end_as_retry_time(
+    #[case] first: Event,
+    #[case] next: Event,
+) {
     let mut harness = Harness::ready();
     harness.event(first);
     for _ in 0..2 {
@@ -108,11 +112,14 @@
     harness.event(next);
     assert!(harness.dispatches().is_empty());
     let refusal = harness.refusal();
-    let told = refusal.retry_after.expect("a time");
-    assert!(told >= Millis(2_000) && told <= Millis(3_100), "{told:?}");
+    let retry_after = refusal.retry_after.expect("a retry time");
+    assert!(
+        retry_after >= Millis(2_000) && retry_after <= Millis(3_100),
+        "{retry_after:?}"
+    );
 }
 
-/// One request probes a back end after its backoff; the others wait for its answer.
+/// After its backoff a back end gets a single probe request, until the probe is answered.
 #[test]
 fn a_back_end_is_probed_after_its_backoff() {
     let mut harness = Harness::ready();
@@ -138,11 +145,11 @@
     assert!(next.iter().all(|one| one.backend == probes[0].backend));
 }
 
-/// What a back end reported is of its start.
+/// Backoff and draining reports hold only for the start of the back end that sent them.
 #[rstest]
 #[case::backoff(AttemptEvent::Backoff(BACKOFF))]
 #[case::draining(AttemptEvent::Draining)]
-fn another_start_has_reported_nothing(#[case] report: AttemptEvent) {
+fn a_restarted_back_end_has_reported_nothing(#[case] report: AttemptEvent) {
     let mut harness = Harness::ready();
     harness.event(order(1, "POST", None));
     let reporting = harness.dispatch();
@@ -151,18 +158,22 @@
     harness.attempt(reporting.attempt, event);
     let other = harness.dispatch();
     respond(&mut harness, &other);
-    assert!(!used_by_calls(&mut harness, 10).contains(&reporting.backend));
-    let mut again = configuration(11);
-    let record = again.backends.get_mut(&reporting.backend).expect("known");
+    assert!(!backends_used_by_calls(&mut harness, 10).contains(&reporting.backend));
+    let mut restarted = configuration(11);
+    let record = restarted
+        .backends
+        .get_mut(&reporting.backend)
+        .expect("known");
     record.registration.start = 2;
-    harness.watch_answered(WatchUpdate::Snapshot(again.into()));
+    harness.watch_answered(WatchUpdate::Snapshot(restarted.into()));
     harness.event(Event::IndexPersisted(11));
-    assert!(used_by_calls(&mut harness, 100).contains(&reporting.backend));
+    assert!(backends_used_by_calls(&mut harness, 100).contains(&reporting.backend));
 }
 
-/// An attempt broke off before, so the call may have run, whoever is in backoff now.
+/// An earlier attempt was interrupted, so the call may have run, and the refusal because of a
+/// backoff must not say that it hasn't.
 #[test]
-fn a_call_that_may_have_run_is_not_refused_as_one_that_has_not() {
+fn a_call_that_may_have_run_is_not_refused_as_not_run() {
     let mut harness = Harness::ready();
     harness.event(order(1, "GET", None));
     let broken = harness.dispatch();
--- a/components/gateway/tests/core/claims.rs
+++ b/components/gateway/tests/core/claims.rs
@@ -1,4 +1,4 @@
-//! Requests with a key: claimed before the one dispatch, never run twice.
+//! Requests with an idempotency key: claimed before they are dispatched, never run twice.
 
 use garnet_control::{ClaimAnswer, ClaimRequest, ControlReply};
 use garnet_gateway::{Answer, AttemptEvent, Event};
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn a_recorded_answer_is_given_again_without_a_run() {
+fn a_recorded_answer_is_sent_without_another_run() {
     let mut harness = Harness::ready();
     harness.event(order(1, "POST", Some("key")));
     harness.answer_claim(ClaimAnswer::Recorded(response()));
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn a_broken_keyed_call_is_in_doubt_and_not_repeated() {
+fn an_interrupted_keyed_call_is_in_doubt_and_not_repeated() {
     let mut harness = Harness::ready();
     harness.event(order(1, "POST", Some("key")));
     harness.answer_claim(ClaimAnswer::Granted);
@@ -69,7 +69,7 @@
 #[rstest]
 #[case::unkeyed_post("POST", 0)]
 #[case::get("GET", 1)]
-fn only_what_is_safe_is_repeated_after_a_broken_answer(
+fn only_safe_methods_are_repeated_after_an_interrupted_answer(
     #[case] method: &str,
     #[case] repeats: usize,
 ) {
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn what_provably_did_not_begin_goes_to_another_instance() {
+fn what_provably_did_not_start_is_retried_at_another_instance() {
     let mut harness = Harness::ready();
     harness.event(order(1, "POST", Some("key")));
     harness.answer_claim(ClaimAnswer::Granted);
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn a_request_that_did_not_run_gives_its_claim_back_until_it_is_noted() {
+fn a_release_of_a_claim_is_sent_until_it_is_acknowledged() {
     let mut harness = Harness::ready();
     harness.event(order(1, "POST", Some("key")));
     harness.answer_claim(ClaimAnswer::Granted);
@@ -107,7 +107,7 @@
     assert!(matches!(released[..], [ClaimRequest::Release(_)]));
     harness.wait_with_lease(Millis(600));
     let again = harness.claim_requests();
-    assert_eq!(again, released, "sent again until it is noted");
+    assert_eq!(again, released, "sent again until acknowledged");
     let claim = again[0].claim().clone();
     let answer = ClaimAnswer::Noted;
     harness.event(Event::Control(ControlReply::Claim { claim, answer }));
@@ -115,10 +115,10 @@
     assert!(harness.claim_requests().is_empty());
 }
 
-/// The deadline passes while the one run goes on: the caller hears it at
-/// once, and a resend gets the recorded answer.
+/// If the deadline passes while the claimed attempt is running, the caller is refused at once,
+/// and a resend gets the recorded answer.
 #[test]
-fn a_run_that_outlives_its_deadline_is_recorded_for_the_resend() {
+fn an_attempt_that_outlives_its_deadline_is_recorded_for_the_resend() {
     let mut harness = Harness::ready();
     harness.event(order(1, "POST", Some("key")));
     harness.answer_claim(ClaimAnswer::Granted);
@@ -132,8 +132,7 @@
     assert!(recorded, "{requests:?}");
 }
 
-/// The grant was lost: it is asked for again, and one that comes twice
-/// dispatches once.
+/// A claim is sent again if its grant is lost, and a grant that arrives twice dispatches once.
 #[test]
 fn a_repeated_grant_dispatches_once() {
     let mut harness = Harness::ready();
--- a/components/gateway/tests/core/configuration.rs
+++ b/components/gateway/tests/core/configuration.rs
@@ -1,4 +1,4 @@
-//! The configuration lease and the rising index.
+//! The configuration lease and the monotonic configuration index.
 
 use garnet_control::{
     CONFIGURATION_LEASE, ConfigurationChange, ControlReply, CopyNews, WatchUpdate,
@@ -32,7 +32,7 @@
     assert!(harness.dispatches().is_empty());
 }
 
-/// The lease runs from when the watch was sent, not from its late answer.
+/// The lease starts when the watch is sent, not when its answer arrives.
 #[test]
 fn a_late_answer_gives_a_short_lease() {
     let mut harness = Harness::new(0);
@@ -56,7 +56,7 @@
 #[case::snapshot(snapshot(9))]
 #[case::changes(no_changes(5, 9))]
 #[case::current(WatchUpdate::Current)]
-fn after_a_restart_nothing_older_is_taken_than_the_disk_remembers(#[case] update: WatchUpdate) {
+fn after_a_restart_nothing_older_than_the_persisted_index_is_accepted(#[case] update: WatchUpdate) {
     let mut harness = Harness::new(10);
     harness.watch_answered(update);
     assert!(!harness.gateway.is_ready(harness.now));
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn an_older_snapshot_does_not_bring_old_state_back() {
+fn an_older_snapshot_is_ignored() {
     let mut harness = Harness::ready();
     harness.watch_answered(snapshot(9));
     assert_eq!(harness.gateway.configuration_index(), 10);
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn changes_with_a_gap_before_them_are_not_taken() {
+fn changes_after_a_gap_are_not_applied() {
     let mut harness = Harness::ready();
     harness.watch_answered(no_changes(12, 14));
     assert_eq!(harness.gateway.configuration_index(), 10);
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn an_unknown_name_is_refused_only_by_a_configuration_asked_for_after_it() {
+fn an_unknown_name_is_refused_only_by_a_later_requested_configuration() {
     let mut harness = Harness::ready();
     harness.wait_with_lease(Millis(400));
     harness.now = harness.now + Millis(50);
--- a/components/gateway/tests/core/crashes.rs
+++ b/components/gateway/tests/core/crashes.rs
@@ -1,4 +1,4 @@
-//! Requests under which engines end, at the gateway with claims.
+//! Requests that crash engines.
 
 use garnet_control::{
     ConfigurationChange, ControlReply, CopyNews, GatewayRequest, QuarantineRecord, WatchUpdate,
@@ -9,7 +9,7 @@
 
 use crate::harness::{Harness, completion, configuration, order};
 
-/// The reports to the leader since the last look.
+/// Crash reports sent to the leader since the last call.
 fn reports(harness: &mut Harness) -> Vec<RunReport> {
     harness.take(|effect| match effect {
         Effect::SendControl(GatewayRequest::Runs(report)) => Some(report.clone()),
@@ -21,11 +21,11 @@
     harness.event(completion(1, None));
     let attempt = harness.dispatch().attempt;
     harness.attempt(attempt, AttemptEvent::Broken);
-    let told = reports(harness).pop().expect("told at once");
-    told.runs[0].fingerprint
+    let report = reports(harness).pop().expect("reported at once");
+    report.runs[0].fingerprint
 }
 
-fn told(harness: &mut Harness, suspects: Suspects) {
+fn send_suspects(harness: &mut Harness, suspects: Suspects) {
     let sent_at = harness.now;
     harness.event(Event::Control(ControlReply::Watch {
         sent_at,
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn a_broken_run_is_told_at_once_with_its_engine() {
+fn an_interrupted_run_is_reported_at_once_with_its_engine() {
     let mut harness = Harness::ready();
     harness.event(completion(1, None));
     let dispatched = harness.dispatch();
@@ -52,11 +52,11 @@
 }
 
 #[test]
-fn a_request_that_the_leader_refuses_is_sent_nowhere() {
+fn a_request_that_the_leader_quarantines_is_not_dispatched() {
     let mut harness = Harness::ready();
     let refused = vec![fingerprint_of_one_crash(&mut harness)];
     let _second_attempt = harness.dispatches();
-    told(
+    send_suspects(
         &mut harness,
         Suspects {
             refused,
@@ -70,18 +70,19 @@
     assert_eq!(refusal.ran, Execution::No);
     assert!(refusal.retry_after.is_some());
     assert!(harness.dispatches().is_empty());
-    // Another request of the same caller is served.
+    // Other requests of the same caller are served.
     harness.event(order(3, "GET", None));
     assert_eq!(harness.dispatches().len(), 1);
 }
 
-/// It may have run, so its caller does not hear that it did not.
+/// A request that is quarantined while an attempt is in flight isn't retried. It may have run,
+/// so the refusal must not say that it hasn't.
 #[test]
-fn an_attempt_under_way_goes_nowhere_after_the_verdict() {
+fn an_attempt_in_flight_is_not_retried_after_the_quarantine() {
     let mut harness = Harness::ready();
     let refused = vec![fingerprint_of_one_crash(&mut harness)];
     let second = harness.dispatch().attempt;
-    told(
+    send_suspects(
         &mut harness,
         Suspects {
             refused,
@@ -94,7 +95,7 @@
 }
 
 #[test]
-fn the_configuration_refuses_for_as_long_as_it_says() {
+fn the_configuration_sets_the_end_of_the_quarantine() {
     let mut harness = Harness::ready();
     let fingerprint = fingerprint_of_one_crash(&mut harness);
     let _second_attempt = harness.dispatches();
@@ -119,7 +120,7 @@
 }
 
 #[test]
-fn another_leader_is_told_all_of_it() {
+fn a_new_leader_gets_all_reports() {
     let mut harness = Harness::ready();
     fingerprint_of_one_crash(&mut harness);
     let through = 1;
--- a/components/gateway/tests/core/harness.rs
+++ b/components/gateway/tests/core/harness.rs
@@ -1,4 +1,4 @@
-//! A gateway, a configuration for it, and short ways to say what happens.
+//! A gateway under test with its configuration, and helpers to feed it events.
 
 use garnet_control::{
     BackendRecord, BackendRegistration, ClaimAnswer, ClaimRequest, Configuration, ControlReply,
@@ -17,7 +17,7 @@
 pub const ENGINES: &str = "language";
 pub const APPLICATIONS: &str = "orders";
 
-/// A dispatch that the gateway wants.
+/// A dispatch emitted by the gateway.
 #[derive(Debug, Clone)]
 pub struct Dispatched {
     pub attempt: AttemptId,
@@ -25,7 +25,7 @@
     pub job: Job,
 }
 
-/// A gateway and everything it wanted done since the last look.
+/// A gateway and the effects that the test hasn't taken yet.
 pub struct Harness {
     pub gateway: Gateway,
     pub now: Millis,
@@ -33,7 +33,7 @@
 }
 
 impl Harness {
-    /// A gateway that takes work by [`configuration`].
+    /// A gateway with [`configuration`] and a lease.
     pub fn ready() -> Self {
         let mut harness = Harness::new(0);
         harness.watch_answered(WatchUpdate::Snapshot(configuration(10).into()));
@@ -41,7 +41,7 @@
         harness
     }
 
-    /// The same by [`split_configuration`].
+    /// A gateway with [`split_configuration`] and a lease.
     pub fn split() -> Self {
         let mut harness = Harness::new(0);
         harness.watch_answered(WatchUpdate::Snapshot(split_configuration(10).into()));
@@ -49,7 +49,7 @@
         harness
     }
 
-    /// A gateway that knows nothing yet, whose disk holds an index.
+    /// A gateway without a configuration, with a persisted configuration index.
     pub fn new(highest_index: u64) -> Self {
         let settings = GatewaySettings {
             highest_index,
@@ -67,7 +67,7 @@
         self.effects.extend(self.gateway.take_effects());
     }
 
-    /// The leader answers a watch that was sent now.
+    /// Answers a watch that was sent now.
     pub fn watch_answered(&mut self, update: WatchUpdate) {
         let sent_at = self.now;
         self.event(Event::Control(ControlReply::Watch {
@@ -81,13 +81,13 @@
         }));
     }
 
-    /// Lets time pass without anything else.
+    /// Advances the time by one step and ticks the gateway.
     pub fn wait(&mut self, span: Millis) {
         self.now = self.now + span;
         self.event(Event::Tick);
     }
 
-    /// Lets time pass while the leader answers every watch.
+    /// Advances the time while the leader answers every watch.
     pub fn wait_with_lease(&mut self, span: Millis) {
         let until = self.now + span;
         while self.now < until {
@@ -96,7 +96,7 @@
         }
     }
 
-    /// An idle engine reports its load.
+    /// Reports the load of an idle engine.
     pub fn report_load(&mut self, id: &str) {
         let report = LoadReport {
             incarnation: 1,
@@ -120,7 +120,7 @@
         self.attempt(attempt, AttemptEvent::Tokens { first, tokens });
     }
 
-    /// Every dispatch since the last call.
+    /// All dispatches since the last call.
     pub fn dispatches(&mut self) -> Vec<Dispatched> {
         self.take(|effect| match effect {
             Effect::Dispatch {
@@ -137,14 +137,14 @@
         })
     }
 
-    /// The one dispatch since the last call.
+    /// The only dispatch since the last call.
     pub fn dispatch(&mut self) -> Dispatched {
         let mut dispatches = self.dispatches();
         assert_eq!(dispatches.len(), 1, "{dispatches:?}");
         dispatches.remove(0)
     }
 
-    /// Every final answer since the last call.
+    /// All final answers since the last call.
     pub fn answers(&mut self) -> Vec<(RequestId, Answer)> {
         self.take(|effect| match effect {
             Effect::Answer { request, answer } => Some((*request, answer.clone())),
@@ -152,14 +152,14 @@
         })
     }
 
-    /// The one final answer since the last call.
+    /// The only final answer since the last call.
     pub fn answer(&mut self) -> Answer {
         let mut answers = self.answers();
         assert_eq!(answers.len(), 1, "{answers:?}");
         answers.remove(0).1
     }
 
-    /// The one final answer since the last call, which is a refusal.
+    /// The only final answer since the last call, which must be a refusal.
     pub fn refusal(&mut self) -> Refusal {
         match self.answer() {
             Answer::Refused(refusal) => refusal,
@@ -167,15 +167,15 @@
         }
     }
 
-    /// Tokens handed to callers since the last call.
-    pub fn handed_out(&mut self) -> Vec<(u64, Vec<String>)> {
+    /// Tokens sent to callers since the last call.
+    pub fn sent_tokens(&mut self) -> Vec<(u64, Vec<String>)> {
         self.take(|effect| match effect {
             Effect::Tokens { first, tokens, .. } => Some((*first, tokens.clone())),
             _ => None,
         })
     }
 
-    /// Requests about claims since the last call.
+    /// Claim requests since the last call.
     pub fn claim_requests(&mut self) -> Vec<ClaimRequest> {
         self.take(|effect| match effect {
             Effect::SendControl(GatewayRequest::Claim(request)) => Some(request.clone()),
@@ -183,7 +183,7 @@
         })
     }
 
-    /// Answers the one claim that was asked for.
+    /// Answers the only claim request since the last call.
     pub fn answer_claim(&mut self, answer: ClaimAnswer) {
         let mut requests = self.claim_requests();
         assert_eq!(requests.len(), 1, "{requests:?}");
@@ -191,20 +191,20 @@
         self.event(Event::Control(ControlReply::Claim { claim, answer }));
     }
 
-    pub fn take<T>(&mut self, pick: impl Fn(&Effect) -> Option<T>) -> Vec<T> {
-        let mut taken = Vec::new();
-        self.effects.retain(|effect| match pick(effect) {
+    pub fn take<T>(&mut self, select: impl Fn(&Effect) -> Option<T>) -> Vec<T> {
+        let mut selected = Vec::new();
+        self.effects.retain(|effect| match select(effect) {
             Some(value) => {
-                taken.push(value);
+                selected.push(value);
                 false
             }
             None => true,
         });
-        taken
+        selected
     }
 }
 
-/// One engine that reads prompts, and one that generates.
+/// One prefill engine and one decode engine, with two application instances.
 pub fn split_configuration(index: u64) -> Configuration {
     let mut configuration = configuration(index);
     for (id, role) in [
@@ -218,7 +218,7 @@
     configuration
 }
 
-/// Two engines that do both phases and two application instances.
+/// Two mixed engines and two application instances.
 pub fn configuration(index: u64) -> Configuration {
     let records = [
         record("engine-1", BackendKind::Engine),
@@ -283,7 +283,7 @@
     })
 }
 
-/// A call of the application service.
+/// A call to the application service.
 pub fn order(id: u64, method: &str, key: Option<&str>) -> Event {
     Event::Call(Call {
         id: RequestId(id),
--- a/components/gateway/tests/core/limited_back_ends.rs
+++ b/components/gateway/tests/core/limited_back_ends.rs
@@ -1,4 +1,4 @@
-//! Back ends that name how much they take from all gateways together.
+//! Back ends that limit the request rate of all gateways together.
 
 use garnet_control::{
     BackendRecord, ControlReply, GatewayRequest, LimitUpdate, Shared, WatchUpdate,
@@ -9,16 +9,16 @@
 
 use crate::harness::{Harness, completion, configuration, order};
 
-/// All back ends whose names begin so have a limit, as the leader says.
+/// Has the leader report a limit for all back ends whose names start with `prefix`.
 fn limit(harness: &mut Harness, prefix: &str) -> Vec<BackendId> {
     let ids = harness.gateway.configuration().backends.keys().cloned();
     let ids: Vec<BackendId> = ids.filter(|id| id.as_str().starts_with(prefix)).collect();
     assert!(!ids.is_empty());
-    let told = |id: &BackendId| LimitEntry {
+    let entry = |id: &BackendId| LimitEntry {
         backend: id.clone(),
         rate: "1.5".parse().expect("a rate"),
     };
-    let limits: Vec<LimitEntry> = ids.iter().map(told).collect();
+    let limits: Vec<LimitEntry> = ids.iter().map(entry).collect();
     harness.event(Event::Control(ControlReply::Limits(LimitUpdate {
         term: 1,
         number: 1,
@@ -28,19 +28,19 @@
     ids
 }
 
-/// A gateway before two engines that only read prompts and two that only generate.
-fn with_readers() -> Harness {
+/// A gateway with two prefill engines and two decode engines.
+fn with_prefill_and_decode_engines() -> Harness {
     let mut harness = Harness::new(0);
     let mut with_roles = configuration(10);
     for number in 1..=2 {
         let id = BackendId::new(format!("engine-{number}"));
         let decode = with_roles.backends.get_mut(&id).expect("an engine");
         set_role(decode, EngineRole::Decode);
-        let mut reader = decode.clone();
-        set_role(&mut reader, EngineRole::Prefill);
-        reader.registration.id = BackendId::new(format!("reader-{number}"));
-        let id = reader.registration.id.clone();
-        with_roles.backends.insert(id, reader);
+        let mut prefill = decode.clone();
+        set_role(&mut prefill, EngineRole::Prefill);
+        prefill.registration.id = BackendId::new(format!("reader-{number}"));
+        let id = prefill.registration.id.clone();
+        with_roles.backends.insert(id, prefill);
     }
     harness.watch_answered(WatchUpdate::Snapshot(with_roles.into()));
     harness.event(Event::IndexPersisted(10));
@@ -52,7 +52,7 @@
     observed.assignment.role = role;
 }
 
-fn asks(harness: &mut Harness) -> Vec<PermitAsk> {
+fn permit_requests(harness: &mut Harness) -> Vec<PermitAsk> {
     harness.take(|effect| match effect {
         Effect::SendControl(GatewayRequest::Permit(ask)) => Some(ask.clone()),
         _ => None,
@@ -77,9 +77,9 @@
     backend
 }
 
-/// The question of a request that waits; it comes after the one for a spare permit.
-fn asked(harness: &mut Harness) -> PermitAsk {
-    asks(harness).pop().expect("a question")
+/// The permit request of a waiting request; it is sent after the one for a spare permit.
+fn permit_request(harness: &mut Harness) -> PermitAsk {
+    permit_requests(harness).pop().expect("a permit request")
 }
 
 #[test]
@@ -88,7 +88,7 @@
     let limited = limit(&mut harness, "order");
     harness.event(order(1, "POST", None));
     assert!(harness.dispatches().is_empty());
-    let ask = asked(&mut harness);
+    let ask = permit_request(&mut harness);
     assert_eq!(ask.backends, limited);
     let granted = grant(&mut harness, &ask);
     assert_eq!(harness.dispatch().backend, granted);
@@ -97,11 +97,11 @@
 }
 
 #[test]
-fn who_gets_no_permit_is_refused_with_a_time() {
+fn a_request_without_a_permit_is_refused_with_a_retry_time() {
     let mut harness = Harness::ready();
     limit(&mut harness, "order");
     harness.event(order(1, "POST", None));
-    let ask = asked(&mut harness);
+    let ask = permit_request(&mut harness);
     let outcome = PermitOutcome::Refused {
         wait: Millis(400),
         retry_after: Millis(1_900),
@@ -109,33 +109,33 @@
     answer(&mut harness, &ask, outcome);
     let refusal = refused(&mut harness);
     assert_eq!(refusal, (OutcomeCode::Overloaded, Some(Millis(1_900))));
-    // The next one hears it without a question.
+    // The next request is refused without another permit request.
     harness.event(order(2, "POST", None));
-    assert!(asks(&mut harness).is_empty());
+    assert!(permit_requests(&mut harness).is_empty());
     let refusal = refused(&mut harness);
     assert_eq!(refusal, (OutcomeCode::Overloaded, Some(Millis(1_900))));
 }
 
 #[test]
-fn without_an_answer_of_the_leader_it_is_refused_soon() {
+fn a_request_is_refused_if_the_leader_does_not_answer() {
     let mut harness = Harness::ready();
     limit(&mut harness, "order");
     harness.event(order(1, "POST", None));
-    let _unanswered = asked(&mut harness);
+    let _unanswered = permit_request(&mut harness);
     harness.wait(Millis(249));
     assert!(harness.answers().is_empty());
     harness.wait(Millis(1));
     assert_eq!(refused(&mut harness).0, OutcomeCode::Overloaded);
 }
 
-/// The only engines that read prompts have a limit: a permit is asked for one of them.
+/// If all prefill engines have a limit, a permit for one of them is requested.
 #[test]
-fn a_prompt_is_read_with_a_permit() {
-    let mut harness = with_readers();
+fn a_prefill_needs_a_permit() {
+    let mut harness = with_prefill_and_decode_engines();
     let limited = limit(&mut harness, "reader");
     harness.event(completion(1, None));
     assert!(harness.dispatches().is_empty());
-    let ask = asked(&mut harness);
+    let ask = permit_request(&mut harness);
     assert_eq!(ask.backends, limited);
     grant(&mut harness, &ask);
     let dispatched = harness.dispatch();
@@ -145,17 +145,17 @@
     );
 }
 
-/// The engines that generate name a limit while a prompt is read: its cache waits for
-/// a permit, as the most urgent.
+/// If the decode engines report a limit during a prefill, a permit with the highest priority is
+/// requested for the KV cache.
 #[test]
-fn a_cache_waits_for_a_permit() {
-    let mut harness = with_readers();
+fn a_kv_cache_waits_for_a_permit() {
+    let mut harness = with_prefill_and_decode_engines();
     harness.event(completion(1, None));
-    let reading = harness.dispatch();
+    let prefilling = harness.dispatch();
     let limited = limit(&mut harness, "engine");
-    harness.attempt(reading.attempt, AttemptEvent::Prefilled { handle: 7 });
+    harness.attempt(prefilling.attempt, AttemptEvent::Prefilled { handle: 7 });
     assert!(harness.dispatches().is_empty());
-    let ask = asked(&mut harness);
+    let ask = permit_request(&mut harness);
     assert_eq!((ask.rank, &ask.backends), (0, &limited));
     grant(&mut harness, &ask);
     match harness.dispatch().job {
@@ -164,9 +164,9 @@
     }
 }
 
-/// What an answer names is told to the leader with the next watch.
+/// A limit reported in an answer is sent to the leader with the next watch.
 #[test]
-fn what_an_answer_names_is_told() {
+fn a_limit_in_an_answer_is_reported() {
     let mut harness = Harness::ready();
     harness.event(order(1, "POST", None));
     let running = harness.dispatch();
@@ -177,8 +177,8 @@
         Effect::SendControl(GatewayRequest::LimitReports { reports, .. }) => Some(reports.clone()),
         _ => None,
     });
-    let told = &sent[0].reports[0];
-    assert_eq!((&told.backend, told.rate), (&running.backend, Some(rate)));
+    let entry = &sent[0].reports[0];
+    assert_eq!((&entry.backend, entry.rate), (&running.backend, Some(rate)));
 }
 
 fn refused(harness: &mut Harness) -> (OutcomeCode, Option<Millis>) {
--- a/components/gateway/tests/core/limits.rs
+++ b/components/gateway/tests/core/limits.rs
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn a_tenant_that_used_its_allowance_up_hears_when_to_come_back() {
+fn a_tenant_above_its_rate_limit_gets_a_retry_time() {
     let mut harness = Harness::ready();
     let refused_at = (0..1000).find(|id| {
         harness.event(long_completion(*id, "greedy"));
--- a/components/gateway/tests/core/main.rs
+++ b/components/gateway/tests/core/main.rs
@@ -1,4 +1,4 @@
-//! The gateway's state machine before scripted replicas and back ends.
+//! Tests of the gateway's state machine with scripted replicas and back ends.
 
 mod availability;
 mod claims;
--- a/components/gateway/tests/core/planned_stops.rs
+++ b/components/gateway/tests/core/planned_stops.rs
@@ -1,4 +1,4 @@
-//! Draining: a planned stop cuts nothing and loses nothing.
+//! Planned stops of gateways and engines: no request is interrupted, no result is lost.
 
 use garnet_control::{ClaimAnswer, ControlReply};
 use garnet_gateway::{AttemptEvent, Event, Job};
@@ -7,7 +7,7 @@
 use crate::harness::{Dispatched, Harness, completion, order};
 
 #[test]
-fn a_draining_gateway_refuses_what_comes_and_finishes_what_is_there() {
+fn a_draining_gateway_refuses_new_requests_and_finishes_open_ones() {
     let mut harness = Harness::ready();
     harness.event(completion(1, None));
     let attempt = harness.dispatch().attempt;
@@ -21,7 +21,7 @@
     assert!(harness.gateway.is_drained());
 }
 
-/// The answer is out, but its record for resends is not safe yet.
+/// The answer has been sent, but the control group hasn't recorded it for resends yet.
 #[test]
 fn a_stop_waits_until_results_are_recorded() {
     let mut harness = Harness::ready();
@@ -48,8 +48,8 @@
 
 const HANDLE: u64 = 7;
 
-/// Has the prompt of a request read, and gives the attempt to generate.
-fn read_prompt(harness: &mut Harness) -> Dispatched {
+/// Completes the prefill of a request and returns the decode dispatch.
+fn complete_prefill(harness: &mut Harness) -> Dispatched {
     let prefill = harness.dispatch();
     assert!(matches!(prefill.job, Job::Prefill { .. }), "{prefill:?}");
     let event = AttemptEvent::Prefilled { handle: HANDLE };
@@ -66,17 +66,18 @@
     }
 }
 
-/// The only decode engine was stopped for 14 ms while another one read the prompt. Its
-/// refusal ended the request in the same millisecond, with 5.9 s of its time left.
+/// Guards against ending a prefilled request when its only decode engine is draining. The
+/// engine was stopped for 14 ms during the prefill, and its rejection ended the request at once,
+/// with 5.9 s left until the deadline.
 #[test]
 fn a_text_whose_decode_engine_stops_waits_for_it() {
     let mut harness = Harness::split();
     harness.event(completion(1, None));
-    let decode = read_prompt(&mut harness);
+    let decode = complete_prefill(&mut harness);
     harness.attempt(decode.attempt, AttemptEvent::NotStarted { draining: true });
     assert!(harness.answers().is_empty());
     harness.wait_with_lease(Millis(1600));
-    // The cache was not imported, so no prompt is read again.
+    // The KV cache was not imported, so no second prefill is needed.
     let decode = harness.dispatch();
     assert_eq!(imported_handle(&decode), Some(HANDLE));
     harness.tokens(decode.attempt, 0, &["a", "b", "c"]);
@@ -84,31 +85,32 @@
     assert_eq!(harness.answers().len(), 1);
 }
 
-/// The engine that read the prompt was stopped before its cache was fetched. The decode
-/// engine was taken for a draining one and left alone, and the request ended.
+/// Guards against blaming the decode engine for a missing KV cache. The prefill engine was
+/// stopped before its cache was fetched; the decode engine was treated as draining and avoided,
+/// and the request ended.
 #[test]
-fn a_text_whose_cache_is_gone_has_its_prompt_read_again() {
+fn a_text_whose_cache_is_gone_is_prefilled_again() {
     let mut harness = Harness::split();
     harness.event(completion(1, None));
-    let decode = read_prompt(&mut harness);
+    let decode = complete_prefill(&mut harness);
     harness.attempt(decode.attempt, AttemptEvent::CacheGone);
-    let decode = read_prompt(&mut harness);
+    let decode = complete_prefill(&mut harness);
     assert_eq!(imported_handle(&decode), Some(HANDLE));
 }
 
-/// A prefill generates nothing. A caller whose prompt was only read got a plain failure,
-/// without a time to come back.
+/// Guards against counting a prefill as a run. A caller whose request was only prefilled got a
+/// plain failure without a retry time.
 #[test]
-fn a_text_whose_prompt_is_only_read_has_not_run() {
+fn a_text_that_is_only_prefilled_has_not_run() {
     let mut harness = Harness::split();
     harness.event(completion(1, None));
-    let decode = read_prompt(&mut harness);
+    let decode = complete_prefill(&mut harness);
     let stopped = AttemptEvent::NotStarted { draining: true };
     harness.attempt(decode.attempt, stopped.clone());
     for _ in 0..10 {
         harness.wait_with_lease(Millis(1000));
-        for again in harness.dispatches() {
-            harness.attempt(again.attempt, stopped.clone());
+        for dispatched in harness.dispatches() {
+            harness.attempt(dispatched.attempt, stopped.clone());
         }
     }
     let refusal = harness.refusal();
@@ -116,24 +118,24 @@
     assert!(refusal.retry_after.is_some());
 }
 
-/// A decode engine that broke off may have generated: that is a run.
+/// An interrupted decode engine may have generated tokens, so the request may have run.
 #[test]
-fn a_text_whose_decode_broke_off_may_have_run() {
+fn a_text_whose_decode_was_interrupted_may_have_run() {
     let mut harness = Harness::split();
     harness.event(completion(1, Some("key")));
     harness.answer_claim(ClaimAnswer::Granted);
-    let decode = read_prompt(&mut harness);
+    let decode = complete_prefill(&mut harness);
     harness.attempt(decode.attempt, AttemptEvent::Broken);
     assert_eq!(harness.refusal().ran, Execution::Unknown);
 }
 
-/// A waiting request was sent by a configuration whose lease was over: the engine may have
-/// left the fleet since.
+/// Guards against dispatching a waiting request after the configuration lease expired: the
+/// engine may have left the fleet.
 #[test]
-fn a_waiting_text_is_sent_by_a_fresh_configuration_only() {
+fn a_waiting_text_is_dispatched_only_with_a_lease() {
     let mut harness = Harness::split();
     harness.event(completion(1, None));
-    let decode = read_prompt(&mut harness);
+    let decode = complete_prefill(&mut harness);
     // No watch is answered from now on.
     let wait = |harness: &mut Harness, steps| {
         for _ in 0..steps {
--- a/components/gateway/tests/core/streams.rs
+++ b/components/gateway/tests/core/streams.rs
@@ -1,4 +1,4 @@
-//! Streams: whole, in order, each to its own caller.
+//! Streams: complete, in order, and each sent to its own caller.
 
 use garnet_control::ClaimAnswer;
 use garnet_gateway::{Answer, AttemptEvent, Call, Event, Job};
@@ -7,7 +7,7 @@
 
 use crate::harness::{Harness, completion};
 
-fn whole_text(answer: Answer) -> String {
+fn complete_text(answer: Answer) -> String {
     match answer {
         Answer::Text(text) => text.tokens.concat(),
         other => panic!("no text: {other:?}"),
@@ -15,24 +15,24 @@
 }
 
 #[test]
-fn repeated_tokens_are_handed_out_once() {
+fn repeated_tokens_are_sent_once() {
     let mut harness = Harness::ready();
     harness.event(completion(1, None));
     let attempt = harness.dispatch().attempt;
     harness.tokens(attempt, 0, &["a", "b"]);
     harness.tokens(attempt, 1, &["b", "c"]);
     harness.attempt(attempt, AttemptEvent::Finished { total: 3 });
-    let handed_out: Vec<String> = harness
-        .handed_out()
+    let sent_tokens: Vec<String> = harness
+        .sent_tokens()
         .into_iter()
         .flat_map(|(_, tokens)| tokens)
         .collect();
-    assert_eq!(handed_out, ["a", "b", "c"]);
-    assert_eq!(whole_text(harness.answer()), "abc");
+    assert_eq!(sent_tokens, ["a", "b", "c"]);
+    assert_eq!(complete_text(harness.answer()), "abc");
 }
 
 #[test]
-fn a_gap_breaks_the_attempt_and_another_engine_goes_on() {
+fn a_gap_fails_the_attempt_and_another_engine_resumes() {
     let mut harness = Harness::ready();
     harness.event(completion(1, None));
     let first = harness.dispatch();
@@ -43,26 +43,26 @@
     let Job::Generate { from_token, .. } = second.job else {
         panic!("{:?}", second.job);
     };
-    assert_eq!(from_token, 1, "it goes on after the last delivered token");
+    assert_eq!(from_token, 1, "it resumes after the last delivered token");
     harness.tokens(second.attempt, 1, &["b", "c"]);
     harness.attempt(second.attempt, AttemptEvent::Finished { total: 3 });
-    assert_eq!(whole_text(harness.answer()), "abc");
+    assert_eq!(complete_text(harness.answer()), "abc");
 }
 
 #[test]
-fn an_end_with_another_count_never_looks_whole() {
+fn an_end_with_another_count_never_looks_complete() {
     let mut harness = Harness::ready();
     harness.event(completion(1, None));
     let attempt = harness.dispatch().attempt;
     harness.tokens(attempt, 0, &["a"]);
     harness.attempt(attempt, AttemptEvent::Finished { total: 3 });
     assert!(harness.answers().is_empty());
-    assert_eq!(harness.dispatches().len(), 1, "another engine goes on");
+    assert_eq!(harness.dispatches().len(), 1, "another engine resumes");
 }
 
-/// A late answer belongs to its attempt and is dropped when that is over.
+/// Tokens of an attempt that has ended are dropped.
 #[test]
-fn late_tokens_of_an_attempt_that_is_over_go_nowhere() {
+fn late_tokens_of_an_ended_attempt_are_dropped() {
     let mut harness = Harness::ready();
     harness.event(completion(1, None));
     let first = harness.dispatch().attempt;
@@ -74,7 +74,7 @@
     assert!(harness.answers().is_empty());
     harness.tokens(second, 1, &["b", "c"]);
     harness.attempt(second, AttemptEvent::Finished { total: 3 });
-    assert_eq!(whole_text(harness.answer()), "abc");
+    assert_eq!(complete_text(harness.answer()), "abc");
 }
 
 #[test]
@@ -91,7 +91,7 @@
     let answers: Vec<(u64, String)> = harness
         .answers()
         .into_iter()
-        .map(|(request, answer)| (request.0, whole_text(answer)))
+        .map(|(request, answer)| (request.0, complete_text(answer)))
         .collect();
     assert_eq!(answers, [(2, "xyz".to_owned()), (1, "abc".to_owned())]);
 }
@@ -106,7 +106,7 @@
     let refusal = harness.refusal();
     assert_eq!(refusal.code, OutcomeCode::Deadline);
     assert_eq!(refusal.ran, Execution::Yes);
-    assert!(refusal.retry_after.is_some(), "it says when to come back");
+    assert!(refusal.retry_after.is_some(), "it has a retry time");
     harness.tokens(attempt, 1, &["b", "c"]);
     harness.attempt(attempt, AttemptEvent::Finished { total: 3 });
     assert!(harness.answers().is_empty());
@@ -126,15 +126,15 @@
     assert!(refusal.retry_after.is_some());
 }
 
-/// An engine that gave neither tokens nor load for two seconds was left, also
-/// where nobody could go on: a request that may run once, or one for which no
-/// retry was left. With 7.5 s of 10 left its caller was told `InDoubt` ("an engine
-/// may have run the request"), or that "the text was broken off and no engine
-/// could take it over", while the engine went on a moment later.
+/// Guards against aborting a silent engine if no other engine may resume the request, because
+/// it may run only once or the retry budget is exhausted. An engine that sent neither tokens nor
+/// load for two seconds was aborted. With 7.5 s of 10 s left, the caller was refused with
+/// `InDoubt` ("an engine may have run the request") or a failure without a substitute engine,
+/// while the engine continued a moment later.
 #[rstest]
-#[case::may_run_once(Some("key"), 0)]
-#[case::no_retry_is_left(None, 6)]
-fn a_silent_engine_without_a_substitute_is_waited_for(
+#[case::at_most_one_run(Some("key"), 0)]
+#[case::no_retry_budget(None, 6)]
+fn a_silent_engine_without_a_substitute_is_not_aborted(
     #[case] key: Option<&str>,
     #[case] retries_before: u64,
 ) {
@@ -157,18 +157,17 @@
     for _ in 0..10 {
         harness.wait_with_lease(Millis(250));
     }
-    assert_eq!(harness.answers(), [], "it is waited for");
+    assert_eq!(harness.answers(), [], "it is not aborted");
     harness.tokens(attempt, 1, &["b", "c"]);
     harness.attempt(attempt, AttemptEvent::Finished { total: 3 });
-    assert_eq!(whole_text(harness.answer()), "abc");
+    assert_eq!(complete_text(harness.answer()), "abc");
 }
 
-/// An engine broke off before its first token, so it may have run the request;
-/// no time was left for another one, and the caller was told that the request
-/// had not run ("the deadline can't be met at the present load", `ran: No`, while
-/// the request was noted as one that may have run).
+/// Guards against reporting `ran: No` for a request that may have run. An engine failed before
+/// its first token, no time was left for another engine, and the request was refused as not run
+/// ("the deadline can't be met at the present load") although it was recorded as possibly run.
 #[test]
-fn a_request_that_may_have_run_is_not_refused_as_one_that_has_not() {
+fn a_request_that_may_have_run_is_not_refused_as_not_run() {
     let mut harness = Harness::ready();
     let Event::Call(call) = completion(1, None) else {
         panic!("a call");
--- a/components/planner/tests/fleet_size.rs
+++ b/components/planner/tests/fleet_size.rs
@@ -188,7 +188,7 @@
             prop_assert!(serving + dedicated >= needed.min(serving + had), "a step leaves too few");
             let mut all = vec![ZoneFleet::default(); present.len()];
             for _ in 0..4 {
-                all = target_fleet(needed, &terms, &all).expect("it does not hang on what is there");
+                all = target_fleet(needed, &terms, &all).expect("independent of the present fleet");
                 all.iter_mut().for_each(|zone| zone.dedicated = 0);
             }
             let total_preemptible: u32 = all.iter().map(|zone| zone.preemptible).sum();
--- a/components/planner/tests/planner.rs
+++ b/components/planner/tests/planner.rs
@@ -144,7 +144,7 @@
     assert_eq!(change, Some(expected));
     planner.observe(OUTPUT_HEAVY, Millis(1000));
     let again = planner.decide(&fleet, &CAPACITY, Millis(1000));
-    assert_eq!(again, None, "the first change is under way");
+    assert_eq!(again, None, "the first change is in progress");
 }
 
 /// The lost engine has returned with its initial role, so that all engines have the same one.
