--- a/components/gateway/src/backends.rs
+++ b/components/gateway/src/backends.rs
@@ -219,7 +219,7 @@
 
     /// Time until the first of these back ends accepts requests again. `None` if one of them
     /// accepts requests now, or if all are draining.
-    pub(crate) fn all_in_backoff<'a>(
+    pub(crate) fn shortest_backoff<'a>(
         &self,
         candidates: impl Iterator<Item = &'a BackendRef<'a>>,
         now: Millis,
--- a/components/gateway/src/call.rs
+++ b/components/gateway/src/call.rs
@@ -50,7 +50,7 @@
     pub tenant: Option<TenantId>,
     /// Session of the request.
     pub session: Option<SessionId>,
-    /// Idempotency key: the request is dispatched at most once.
+    /// Idempotency key: a request with a key is run at most once.
     pub key: Option<IdempotencyKey>,
     /// Time allowed by the caller, from arrival.
     pub deadline: Option<Millis>,
--- a/components/gateway/src/gateway/availability.rs
+++ b/components/gateway/src/gateway/availability.rs
@@ -31,10 +31,10 @@
         }
     }
 
-    /// The refusal of a request when the first back end accepts requests again after `first`.
-    pub(crate) fn backoff_refusal(&mut self, first: Millis) -> Refusal {
+    /// The refusal of a request when the first back end accepts requests again after `remaining`.
+    pub(crate) fn backoff_refusal(&mut self, remaining: Millis) -> Refusal {
         let draw = self.random.random();
-        let retry_after = caller_return(first, MAX_CALLER_SPREAD, draw);
+        let retry_after = caller_return(remaining, MAX_CALLER_SPREAD, draw);
         let message = "all back ends of the service are in backoff";
         Refusal::not_run(OutcomeCode::Overloaded, retry_after, message)
     }
@@ -45,11 +45,9 @@
         let configuration = &self.watched.configuration;
         let service = &request.service;
         let remaining_backoff_of =
-            |remaining_backoff_of: &[BackendRef<'_>], is_capable: fn(&BackendRef<'_>) -> bool| {
-                let capable = remaining_backoff_of
-                    .iter()
-                    .filter(|candidate| is_capable(candidate));
-                self.backends.all_in_backoff(capable, self.now)
+            |backends: &[BackendRef<'_>], is_capable: fn(&BackendRef<'_>) -> bool| {
+                let capable = backends.iter().filter(|candidate| is_capable(candidate));
+                self.backends.shortest_backoff(capable, self.now)
             };
         match request.model() {
             Some(model) => {
--- a/components/gateway/tests/core/availability.rs
+++ b/components/gateway/tests/core/availability.rs
@@ -112,10 +112,10 @@
     harness.event(next);
     assert!(harness.dispatches().is_empty());
     let refusal = harness.refusal();
-    let retry_after = refusal.retry_after.expect("a retry time");
+    let remaining_backoff = refusal.retry_after.expect("a retry time");
     assert!(
-        retry_after >= Millis(2_000) && retry_after <= Millis(3_100),
-        "{retry_after:?}"
+        remaining_backoff >= Millis(2_000) && remaining_backoff <= Millis(3_100),
+        "{remaining_backoff:?}"
     );
 }
 
--- a/components/gateway/tests/core/crashes.rs
+++ b/components/gateway/tests/core/crashes.rs
@@ -21,8 +21,8 @@
     harness.event(completion(1, None));
     let attempt = harness.dispatch().attempt;
     harness.attempt(attempt, AttemptEvent::Broken);
-    let report = reports(harness).pop().expect("reported at once");
-    report.runs[0].fingerprint
+    let sent = reports(harness).pop().expect("reported at once");
+    sent.runs[0].fingerprint
 }
 
 fn send_suspects(harness: &mut Harness, suspects: Suspects) {
--- a/components/gateway/tests/core/planned_stops.rs
+++ b/components/gateway/tests/core/planned_stops.rs
@@ -109,8 +109,8 @@
     harness.attempt(decode.attempt, stopped.clone());
     for _ in 0..10 {
         harness.wait_with_lease(Millis(1000));
-        for dispatched in harness.dispatches() {
-            harness.attempt(dispatched.attempt, stopped.clone());
+        for redispatched in harness.dispatches() {
+            harness.attempt(redispatched.attempt, stopped.clone());
         }
     }
     let refusal = harness.refusal();
