--- a/components/gateway/src/gateway/availability.rs
+++ b/components/gateway/src/gateway/availability.rs
@@ -45,8 +45,8 @@
         let configuration = &self.watched.configuration;
         let service = &request.service;
         let remaining_backoff_of =
-            |backends: &[BackendRef<'_>], is_capable: fn(&BackendRef<'_>) -> bool| {
-                let capable = backends.iter().filter(|candidate| is_capable(candidate));
+            |listed: &[BackendRef<'_>], is_capable: fn(&BackendRef<'_>) -> bool| {
+                let capable = listed.iter().filter(|candidate| is_capable(candidate));
                 self.backends.shortest_backoff(capable, self.now)
             };
         match request.model() {
