--- a/components/gateway/src/gateway/availability.rs
+++ b/components/gateway/src/gateway/availability.rs
@@ -1,5 +1,5 @@
-//! Back ends that request a backoff or report draining, and the retry time of callers
-//! whose requests no back end takes.
+//! Back ends that request a backoff or report draining, and the retry time of callers whose
+//! requests no back end accepts.
 
 use garnet_routing::{RetryAfter, backoff_jitter, caller_retry_delay};
 use garnet_types::{BackendId, Millis, OutcomeCode, Refusal};
@@ -10,11 +10,11 @@
 
 use super::Gateway;
 
-/// Callers that come back after a backoff are spread over this time at most.
+/// Maximum time over which the retries of callers are spread after a backoff.
 const MAX_CALLER_SPREAD: Millis = Millis::from_secs(1);
 
 impl Gateway {
-    /// Takes the backoff that an answer requests.
+    /// Records a backoff that a back end requested.
     pub(super) fn on_backoff_requested(&mut self, backend: &BackendId, retry_after: RetryAfter) {
         let spread = backoff_jitter(retry_after, self.gateway_count, self.random.random());
         if let Some(record) = self.watched.configuration.backends.get(backend) {
@@ -23,7 +23,7 @@
         }
     }
 
-    /// Takes a report of draining.
+    /// Records that a back end reported draining.
     pub(super) fn on_draining_reported(&mut self, backend: &BackendId) {
         if let Some(record) = self.watched.configuration.backends.get(backend) {
             let availability = self.backends.availability_of(record);
@@ -31,25 +31,23 @@
         }
     }
 
-    /// The refusal of a request that nobody takes for so long.
-    pub(crate) fn backoff_refusal(&mut self, first: Millis) -> Refusal {
+    /// The refusal of a request when the first back end accepts requests again after `remaining`.
+    pub(crate) fn backoff_refusal(&mut self, remaining: Millis) -> Refusal {
         let draw = self.random.random();
-        let retry_after = caller_retry_delay(first, MAX_CALLER_SPREAD, draw);
+        let retry_after = caller_retry_delay(remaining, MAX_CALLER_SPREAD, draw);
         let message = "all back ends of the service are in backoff";
         Refusal::not_run(OutcomeCode::Overloaded, retry_after, message)
     }
 
-    /// Time until some back end takes each part of a request again; `None` where that
-    /// does not depend on a backoff.
+    /// Time until a back end accepts each phase of a request again; `None` if no phase waits for
+    /// a backoff to end.
     pub(crate) fn remaining_backoff(&self, request: &Request) -> Option<Millis> {
         let configuration = &self.watched.configuration;
         let service = &request.service;
         let remaining_backoff_of =
-            |remaining_backoff_of: &[BackendRef<'_>], is_capable: fn(&BackendRef<'_>) -> bool| {
-                let capable = remaining_backoff_of
-                    .iter()
-                    .filter(|candidate| is_capable(candidate));
-                self.backends.all_in_backoff(capable, self.now)
+            |listed: &[BackendRef<'_>], is_capable: fn(&BackendRef<'_>) -> bool| {
+                let capable = listed.iter().filter(|candidate| is_capable(candidate));
+                self.backends.shortest_backoff(capable, self.now)
             };
         match request.model() {
             Some(model) => {
