--- a/components/control/src/fleet_health.rs
+++ b/components/control/src/fleet_health.rs
@@ -17,7 +17,7 @@
 const HALF_LIFE: Millis = Millis(1000);
 /// Weight of an unreachable back end; it is stronger evidence than a failed request.
 const UNREACHABLE_WEIGHT: f64 = 2.0;
-/// Number of gateways that must have health failures, or all gateways if there are fewer.
+/// Number of gateways that must have seen failures, or all gateways if there are fewer.
 const MIN_WITNESSES: usize = 2;
 /// How long a gateway that saw a failure counts as a witness.
 const WITNESS_DURATION: Millis = Millis::from_secs(3);
--- a/components/control/src/fleet_sizing.rs
+++ b/components/control/src/fleet_sizing.rs
@@ -31,7 +31,7 @@
 /// The last order for one subject.
 #[derive(Debug, Clone, Copy)]
 struct LastOrder {
-    /// LastOrder number of engines; `None` if the order was not carried out.
+    /// Ordered number of engines; `None` if the order was not carried out.
     engines: Option<u32>,
     at: Millis,
     /// When the order may be repeated.
--- a/components/control/tests/state/load_digest.rs
+++ b/components/control/tests/state/load_digest.rs
@@ -154,8 +154,8 @@
     let mut leader = leader();
     watch(&mut leader, "a", vec![backlog(1, 2, 6_400)], Vec::new());
     leader.run(Millis(1500));
-    let to_b = watch(&mut leader, "b", Vec::new(), Vec::new()).expect("new to b");
-    assert_eq!(states(&to_b)[1], BackendState::default());
+    let sent_to_b = watch(&mut leader, "b", Vec::new(), Vec::new()).expect("new to b");
+    assert_eq!(states(&sent_to_b)[1], BackendState::default());
 }
 
 #[test]
@@ -287,10 +287,10 @@
 fn a_digest_gives_the_positions_of_its_back_ends() {
     let ids: Vec<BackendId> = (0..100).map(id).collect();
     let members = MembersHash::of(ids.iter());
-    let states = digest_of(100, 30)
+    let busy = digest_of(100, 30)
         .states(members)
         .expect("the same back ends");
-    let positions: Vec<usize> = states.iter().map(|entry| entry.position).collect();
+    let positions: Vec<usize> = busy.iter().map(|entry| entry.position).collect();
     assert_eq!(positions, [0, 30, 60, 90]);
-    assert!(states.iter().all(|entry| entry.state.requests == 3));
+    assert!(busy.iter().all(|entry| entry.state.requests == 3));
 }
