--- a/components/control/src/copies.rs
+++ b/components/control/src/copies.rs
@@ -85,8 +85,8 @@
     /// Forgets the copies of an engine that has restarted. Its reports keep their numbers
     /// but are not sent any more.
     pub(crate) fn on_restart(&mut self, engine: &BackendId) {
-        let is_its = |report: &&mut Report| report.backend == *engine;
-        for report in self.reports.iter_mut().filter(is_its) {
+        let is_of_engine = |report: &&mut Report| report.backend == *engine;
+        for report in self.reports.iter_mut().filter(is_of_engine) {
             report.is_void = true;
         }
     }
--- a/components/control/src/shared.rs
+++ b/components/control/src/shared.rs
@@ -94,7 +94,7 @@
         let (value, read) = bincode::serde::decode_from_slice(&bytes, bincode::config::standard())
             .map_err(D::Error::custom)?;
         if read != bytes.len() {
-            return Err(D::Error::custom("bytes are left over"));
+            return Err(D::Error::custom("trailing bytes after the encoded value"));
         }
         Ok(Shared::from(Arc::new(value)))
     }
@@ -120,10 +120,10 @@
             let mut bounded = DeflateDecoder::new(compressed).take(MAX_ENCODED_BYTES + 1);
             bounded.read_to_end(&mut encoded)?;
             if encoded.len() as u64 > MAX_ENCODED_BYTES {
-                return Err(invalid("it is longer than allowed"));
+                return Err(invalid("the decompressed value exceeds the size limit"));
             }
             Ok(encoded)
         }
-        _ => Err(invalid("it is encoded in an unknown way")),
+        _ => Err(invalid("the value has an unknown encoding marker")),
     }
 }
--- a/components/control/tests/state/determinism.rs
+++ b/components/control/tests/state/determinism.rs
@@ -99,7 +99,7 @@
         for (position, envelope) in envelopes.iter().enumerate() {
             if position == cut {
                 restored.state = ControlState::decode(&restored.state.encode().expect("its own format"))
-                    .expect("a whole snapshot");
+                    .expect("a complete snapshot");
             }
             let answer = straight.apply_envelope(envelope);
             prop_assert_eq!(answer, restored.apply_envelope(envelope));
--- a/components/control/tests/state/fleet_size.rs
+++ b/components/control/tests/state/fleet_size.rs
@@ -112,7 +112,7 @@
             ..
         } = &call.duty
         else {
-            panic!("no usage is told here");
+            panic!("no usage is reported here");
         };
         let zone_index = ZONES.iter().position(|name| name == zone).expect("a zone");
         let answer = match kind {
--- a/components/control/tests/state/routes.rs
+++ b/components/control/tests/state/routes.rs
@@ -33,7 +33,7 @@
     }
     log.apply(put(9, "nine"));
     let restored = ControlState::decode(&log.state.encode().expect("its own format"))
-        .expect("a whole snapshot");
+        .expect("a complete snapshot");
     assert_eq!(restored.routes_document.as_deref(), Some("nine"));
     assert_eq!(restored.routes_version(), Some(9));
 }
