--- a/components/forwarding/src/forwarder/admission.rs
+++ b/components/forwarding/src/forwarder/admission.rs
@@ -238,9 +238,9 @@
     }
 
     /// Records how long a request held its decode slot.
-    pub fn note_slot_time(&mut self, id: &BackendId, prompt: &Prompt, kept: Millis) {
+    pub fn note_slot_time(&mut self, id: &BackendId, prompt: &Prompt, held_for: Millis) {
         if let Some(learned) = self.learned_of(id) {
-            learned.token_time.note(prompt.likely_output(), kept);
+            learned.token_time.note(prompt.likely_output(), held_for);
         }
     }
 
--- a/components/forwarding/src/pace.rs
+++ b/components/forwarding/src/pace.rs
@@ -96,9 +96,9 @@
 }
 
 impl TokenTime {
-    /// Adds a request that held its decode slot for `kept`.
-    pub fn note(&mut self, likely_output_tokens: u64, kept: Millis) {
-        self.sum_ms = self.sum_ms * SAMPLE_DECAY + kept.0 as f64;
+    /// Adds a request that held its decode slot for `held_for`.
+    pub fn note(&mut self, likely_output_tokens: u64, held_for: Millis) {
+        self.sum_ms = self.sum_ms * SAMPLE_DECAY + held_for.0 as f64;
         self.sum_tokens = self.sum_tokens * SAMPLE_DECAY + likely_output_tokens as f64;
     }
 
