--- a/components/forwarding/src/backends.rs
+++ b/components/forwarding/src/backends.rs
@@ -156,7 +156,7 @@
 pub struct Backend {
     /// Its registration.
     pub registration: BackendRegistration,
-    /// The engine's start (incarnation), if known.
+    /// Its start (incarnation), if known.
     pub start: u64,
     /// Phases that an engine serves; `None` for an application.
     pub role: Option<EngineRole>,
@@ -204,7 +204,7 @@
     }
 
     /// Applies a newer record. Returns `true` if it belongs to another start of the
-    /// engine, whose caches and state are empty; own requests in flight at the former
+    /// back end, whose caches and state are empty; own requests in flight at the former
     /// start end by themselves.
     pub fn update(&mut self, record: &BackendRecord) -> bool {
         self.registration = record.registration.clone();
