--- a/components/control/tests/group_repair/metering.rs
+++ b/components/control/tests/group_repair/metering.rs
@@ -56,7 +56,7 @@
         match reply {
             ControlReply::Usage(receipt) => {
                 self.received_at = now;
-                self.late_requests += self.meter.take(receipt, now);
+                self.late_requests += self.meter.on_receipt(receipt, now);
             }
             ControlReply::NotLeader { .. } => self.switch_target(now),
             _ => {}
--- a/components/forwarding-shell/src/going_on.rs
+++ b/components/forwarding-shell/src/going_on.rs
@@ -89,7 +89,7 @@
     if forwarder.has_no_suspects() {
         return QuarantineStatus::Clear;
     }
-    forwarder.standing(call.fingerprint())
+    forwarder.quarantine_status(call.fingerprint())
 }
 
 /// Whether the request may be sent to no engine, since engines ended under it.
--- a/components/forwarding-shell/src/stream/reading.rs
+++ b/components/forwarding-shell/src/stream/reading.rs
@@ -129,7 +129,7 @@
         // The verdict on a request may fall while its prompt is prefilled, and
         // its time may pass.
         if !may_be_sent(&self.gateway, &self.running) {
-            return Err(AttemptEnd::NotRun(NotRunReason::Refused));
+            return Err(AttemptEnd::NotRun(NotRunReason::Rejected));
         }
         // A limit may have been named while the prompt was prefilled.
         let place = || self.place_decode(cache.prefill_engine());
--- a/components/forwarding-shell/src/watch.rs
+++ b/components/forwarding-shell/src/watch.rs
@@ -140,7 +140,7 @@
         let Some(usage) = &self.gateway.usage else {
             return;
         };
-        let lost = usage.borrow_mut().take(receipt, self.gateway.now());
+        let lost = usage.borrow_mut().on_receipt(receipt, self.gateway.now());
         if lost > 0 {
             self.gateway.metrics.lost_usage(lost);
             log::warn!(requests = lost; "usage_lost");
--- a/components/forwarding/src/attempts.rs
+++ b/components/forwarding/src/attempts.rs
@@ -17,7 +17,7 @@
     /// The KV cache from which the request was to resume is not available.
     CacheGone,
     /// The back end rejects the request for another reason.
-    Refused,
+    Rejected,
 }
 
 impl NotRunReason {
@@ -27,7 +27,7 @@
             NotRunReason::Full => "full",
             NotRunReason::Misdirected => "misdirected",
             NotRunReason::CacheGone => "cache_gone",
-            NotRunReason::Refused => "refused",
+            NotRunReason::Rejected => "refused",
         }
     }
 }
@@ -66,7 +66,7 @@
     pub rejected: u32,
     /// Attempts that did not reach their back end.
     pub unreachable: u32,
-    /// Attempts whose back end is silent, and which stay open beside the next attempt.
+    /// Attempts whose back end is silent, and which stay open during the next attempt.
     pub silent: u32,
 }
 
@@ -80,13 +80,14 @@
         }
     }
 
-    /// Counts an attempt whose back end is silent, while another back end is tried beside
-    /// it.
+    /// Counts an attempt whose back end is silent, and which stays open while another back
+    /// end is tried.
     pub fn silent_begun(&mut self) {
         self.silent += 1;
     }
 
-    /// Records that a silent attempt became the one to answer again.
+    /// Records that a silent attempt is the one that answers the request again: its back
+    /// end sent something, or no other back end was found.
     pub fn silent_resumed(&mut self) {
         self.silent = self.silent.saturating_sub(1);
     }
--- a/components/forwarding/src/forwarder/quarantine.rs
+++ b/components/forwarding/src/forwarder/quarantine.rs
@@ -19,8 +19,9 @@
         self.crash_log.is_empty() && self.configuration.quarantine.is_empty()
     }
 
-    /// Returns the standing of a request.
-    pub fn standing(&self, fingerprint: RequestFingerprint) -> QuarantineStatus {
+    /// Whether a request is suspected or refused, by the configuration and this gateway's
+    /// crash log.
+    pub fn quarantine_status(&self, fingerprint: RequestFingerprint) -> QuarantineStatus {
         if self.configuration.quarantine.contains_key(&fingerprint) {
             return QuarantineStatus::Refused;
         }
@@ -33,7 +34,7 @@
         record.map_or(DEFAULT_RETRY_AFTER, |record| record.until.since(now))
     }
 
-    /// Records a run that broke off in the way a crash of its back end breaks it off.
+    /// Records a run that broke off as it does when its back end crashes.
     pub fn run_crashed(&mut self, fingerprint: RequestFingerprint, id: &BackendId, now: Millis) {
         let engine = EngineStart {
             backend: id.clone(),
@@ -67,8 +68,8 @@
         self.crash_log.update_suspects(suspects);
     }
 
-    /// Returns the open back ends that a suspected request may not use: all but its own
-    /// one.
+    /// Returns the open back ends that a suspected request may not use: all but its
+    /// [`isolation_backend`].
     pub fn excluded_for_suspect(
         &self,
         service: &ServiceId,
--- a/components/forwarding/src/usage.rs
+++ b/components/forwarding/src/usage.rs
@@ -1,4 +1,4 @@
-//! Counts the requests that began to run, by tenant and by window of true time.
+//! Counts the requests that began to run, by tenant and by window of the leader's time.
 //!
 //! A count is reported repeatedly until the leader acknowledges that it is in the log.
 //! Windows follow the leader's time of day, which is the median of all clocks: this
@@ -15,7 +15,7 @@
     requests: u64,
     /// How many of them are known to be in the log.
     logged: u64,
-    /// Number of the first report that contained the present count.
+    /// Number of the first report that contained the current count.
     first_report: Option<u64>,
 }
 
@@ -87,9 +87,9 @@
         }
     }
 
-    /// Takes the leader's receipt, which arrived at `now`. Returns the number of requests
+    /// Applies the leader's receipt, which arrived at `now`. Returns the number of requests
     /// that came too late for their window and are dropped.
-    pub fn take(&mut self, receipt: &UsageReceipt, now: Millis) -> u64 {
+    pub fn on_receipt(&mut self, receipt: &UsageReceipt, now: Millis) -> u64 {
         self.clock_behind_ms = receipt.time.0 as i64 - now.0 as i64;
         for count in self.counts.values_mut() {
             if count
--- a/components/forwarding/tests/core/attempts.rs
+++ b/components/forwarding/tests/core/attempts.rs
@@ -8,21 +8,21 @@
 use crate::fleet::work;
 
 const FULL: AttemptEnd = AttemptEnd::NotRun(NotRunReason::Full);
-const AGAIN: NextMove = NextMove::TryAnother { repeat: true };
-const ELSEWHERE: NextMove = NextMove::TryAnother { repeat: false };
+const REPEAT_ELSEWHERE: NextMove = NextMove::TryAnother { repeat: true };
+const TRY_ELSEWHERE: NextMove = NextMove::TryAnother { repeat: false };
 
 #[rstest]
-#[case::repeatable_broken(WorkKind::Repeatable, &[AttemptEnd::Broken], AGAIN)]
-#[case::repeatable_failed(WorkKind::Repeatable, &[AttemptEnd::Failed], AGAIN)]
+#[case::repeatable_broken(WorkKind::Repeatable, &[AttemptEnd::Broken], REPEAT_ELSEWHERE)]
+#[case::repeatable_failed(WorkKind::Repeatable, &[AttemptEnd::Failed], REPEAT_ELSEWHERE)]
 #[case::repeatable_twice(WorkKind::Repeatable, &[AttemptEnd::Broken, AttemptEnd::Broken], NextMove::GiveUp(GivenUp::InDoubt))]
 #[case::repeatable_failed_twice(WorkKind::Repeatable, &[AttemptEnd::Failed, AttemptEnd::Failed], NextMove::PassOn)]
-#[case::once_unsent(WorkKind::AtMostOnce, &[AttemptEnd::Unsent], ELSEWHERE)]
-#[case::once_full(WorkKind::AtMostOnce, &[FULL], AGAIN)]
+#[case::once_unsent(WorkKind::AtMostOnce, &[AttemptEnd::Unsent], TRY_ELSEWHERE)]
+#[case::once_full(WorkKind::AtMostOnce, &[FULL], REPEAT_ELSEWHERE)]
 #[case::once_full_everywhere(WorkKind::AtMostOnce, &[FULL, FULL, FULL], NextMove::GiveUp(GivenUp::NotRun))]
 #[case::once_broken(WorkKind::AtMostOnce, &[AttemptEnd::Broken], NextMove::GiveUp(GivenUp::InDoubt))]
 #[case::once_failed(WorkKind::AtMostOnce, &[AttemptEnd::Failed], NextMove::PassOn)]
 #[case::stream_broken(WorkKind::Stream, &[AttemptEnd::Broken], NextMove::GiveUp(GivenUp::InDoubt))]
-#[case::resumable_broken(WorkKind::ResumableStream, &[AttemptEnd::Broken], AGAIN)]
+#[case::resumable_broken(WorkKind::ResumableStream, &[AttemptEnd::Broken], REPEAT_ELSEWHERE)]
 fn next_move_after_attempt_ends(
     #[case] kind: WorkKind,
     #[case] ends: &[AttemptEnd],
@@ -76,15 +76,15 @@
                     break;
                 }
             }
-            prop_assert!(ended || ends.len() < 8, "it goes on for ever");
+            prop_assert!(ended || ends.len() < 8, "the request never ends");
         }
     }
 }
 
 /// An attempt whose back end is silent counts as one that may have run.
 #[rstest]
-#[case::repeatable(WorkKind::Repeatable, 0, AGAIN)]
-#[case::resumable(WorkKind::ResumableStream, 0, AGAIN)]
+#[case::repeatable(WorkKind::Repeatable, 0, REPEAT_ELSEWHERE)]
+#[case::resumable(WorkKind::ResumableStream, 0, REPEAT_ELSEWHERE)]
 #[case::one_has_run_already(WorkKind::ResumableStream, 1, NextMove::GiveUp(GivenUp::InDoubt))]
 #[case::at_most_once(WorkKind::AtMostOnce, 0, NextMove::GiveUp(GivenUp::InDoubt))]
 #[case::stream(WorkKind::Stream, 0, NextMove::GiveUp(GivenUp::InDoubt))]
--- a/components/forwarding/tests/core/quarantine.rs
+++ b/components/forwarding/tests/core/quarantine.rs
@@ -40,11 +40,11 @@
 }
 
 /// Back ends that a suspected request may use.
-fn own(forwarder: &Forwarder, path: &str, tried: &[BackendId]) -> BTreeSet<BackendId> {
+fn usable_engines(forwarder: &Forwarder, path: &str, tried: &[BackendId]) -> BTreeSet<BackendId> {
     let service = ServiceId::new("words");
-    let left_out = forwarder.excluded_for_suspect(&service, request(path), tried, NOW);
+    let excluded = forwarder.excluded_for_suspect(&service, request(path), tried, NOW);
     let all = forwarder.backend_ids().cloned();
-    all.filter(|id| !left_out.contains(id) && !tried.contains(id))
+    all.filter(|id| !excluded.contains(id) && !tried.contains(id))
         .collect()
 }
 
@@ -54,9 +54,12 @@
     assert!(forwarder.has_no_suspects());
     crash(&mut forwarder, "/bad", "d0");
     assert!(!forwarder.has_no_suspects());
-    assert_eq!(forwarder.standing(request("/bad")), QuarantineStatus::Clear);
     assert_eq!(
-        forwarder.standing(request("/other")),
+        forwarder.quarantine_status(request("/bad")),
+        QuarantineStatus::Clear
+    );
+    assert_eq!(
+        forwarder.quarantine_status(request("/other")),
         QuarantineStatus::Clear
     );
 }
@@ -73,23 +76,26 @@
     );
     forwarder.update(WatchUpdate::Snapshot(with.clone().into()));
     assert_eq!(
-        forwarder.standing(request("/bad")),
+        forwarder.quarantine_status(request("/bad")),
         QuarantineStatus::Refused
     );
     assert_eq!(
-        forwarder.standing(request("/other")),
+        forwarder.quarantine_status(request("/other")),
         QuarantineStatus::Clear
     );
     let left = forwarder.refused_for(request("/bad"), NOW);
     assert_eq!(left, Millis::from_secs(60));
     with.change(7, &ConfigurationChange::RequestReleased(request("/bad")));
     forwarder.update(WatchUpdate::Snapshot(with.into()));
-    assert_eq!(forwarder.standing(request("/bad")), QuarantineStatus::Clear);
+    assert_eq!(
+        forwarder.quarantine_status(request("/bad")),
+        QuarantineStatus::Clear
+    );
     assert!(forwarder.has_no_suspects());
 }
 
-/// An operator released the request, but a gateway that had seen three engines crash
-/// under it kept refusing it on its own evidence.
+/// Guards against a release without effect: an operator released the request, but a gateway
+/// that had recorded three crashes during its runs kept refusing it.
 #[test]
 fn a_release_clears_the_gateways_own_crash_record() {
     let mut forwarder = decode_engines(4);
@@ -106,12 +112,15 @@
     );
     forwarder.update(WatchUpdate::Snapshot(with.clone().into()));
     assert_eq!(
-        forwarder.standing(request("/bad")),
+        forwarder.quarantine_status(request("/bad")),
         QuarantineStatus::Refused
     );
     with.change(7, &ConfigurationChange::RequestReleased(request("/bad")));
     forwarder.update(WatchUpdate::Snapshot(with.into()));
-    assert_eq!(forwarder.standing(request("/bad")), QuarantineStatus::Clear);
+    assert_eq!(
+        forwarder.quarantine_status(request("/bad")),
+        QuarantineStatus::Clear
+    );
     let left = forwarder.run_report(NOW).expect("the other one");
     assert_eq!(left.runs.len(), 1);
 }
@@ -121,25 +130,28 @@
     let (one, other) = (decode_engines(8), decode_engines(8));
     for number in 0..20 {
         let path = format!("/{number}");
-        let at_one = own(&one, &path, &[]);
+        let at_one = usable_engines(&one, &path, &[]);
         assert_eq!(at_one.len(), 1);
-        assert_eq!(at_one, own(&other, &path, &[]));
+        assert_eq!(at_one, usable_engines(&other, &path, &[]));
     }
 }
 
-/// Spreading separates requests that only ran beside a crash from the one that caused it.
+/// Spreading moves requests that only ran on a crashed engine away from the request that
+/// caused the crash.
 #[test]
 fn suspected_requests_are_spread_over_the_engines() {
     let forwarder = decode_engines(8);
-    let chosen = (0..64).flat_map(|number| own(&forwarder, &format!("/{number}"), &[]));
+    let chosen = (0..64).flat_map(|number| usable_engines(&forwarder, &format!("/{number}"), &[]));
     assert_eq!(chosen.collect::<BTreeSet<_>>().len(), 8);
 }
 
 #[test]
 fn a_suspected_request_moves_on_from_a_tried_engine() {
     let forwarder = decode_engines(3);
-    let first: Vec<BackendId> = own(&forwarder, "/bad", &[]).into_iter().collect();
-    let second = own(&forwarder, "/bad", &first);
+    let first: Vec<BackendId> = usable_engines(&forwarder, "/bad", &[])
+        .into_iter()
+        .collect();
+    let second = usable_engines(&forwarder, "/bad", &first);
     assert_eq!(second.len(), 1);
     assert!(!second.contains(&first[0]));
 }
@@ -152,15 +164,15 @@
         refused: vec![request("/bad")],
     });
     assert_eq!(
-        forwarder.standing(request("/near")),
+        forwarder.quarantine_status(request("/near")),
         QuarantineStatus::Suspected
     );
     assert_eq!(
-        forwarder.standing(request("/bad")),
+        forwarder.quarantine_status(request("/bad")),
         QuarantineStatus::Refused
     );
     forwarder.run_completed(request("/near"), NOW);
-    let report = forwarder.run_report(NOW).expect("news");
+    let report = forwarder.run_report(NOW).expect("a report");
     assert_eq!(report.runs.len(), 1);
     forwarder.runs_confirmed(report.through);
     assert_eq!(forwarder.run_report(NOW), None);
--- a/components/forwarding/tests/core/usage.rs
+++ b/components/forwarding/tests/core/usage.rs
@@ -54,14 +54,14 @@
     let mut meter = meter();
     begin(&mut meter, "one", 10_000);
     assert_eq!(meter.report().number, 1);
-    assert_eq!(meter.take(&receipt(0, None), NOW), 0);
+    assert_eq!(meter.on_receipt(&receipt(0, None), NOW), 0);
     assert!(meter.has_unlogged());
     begin(&mut meter, "two", 10_000);
     let second = meter.report();
     assert_eq!(counts(&second), [(2, "one", 1), (2, "two", 1)]);
-    meter.take(&receipt(1, None), NOW);
+    meter.on_receipt(&receipt(1, None), NOW);
     assert_eq!(counts(&meter.report()), [(2, "two", 1)]);
-    meter.take(&receipt(2, None), NOW);
+    meter.on_receipt(&receipt(2, None), NOW);
     assert!(!meter.has_unlogged());
 }
 
@@ -72,7 +72,7 @@
     begin(&mut meter, "one", 10_000);
     let first = meter.report().number;
     begin(&mut meter, "one", 10_000);
-    meter.take(&receipt(first, None), NOW);
+    meter.on_receipt(&receipt(first, None), NOW);
     assert_eq!(counts(&meter.report()), [(2, "one", 2)]);
 }
 
@@ -86,7 +86,7 @@
     begin(&mut meter, "one", 15_000);
     let last_report = meter.report().number;
     assert_eq!(
-        meter.take(&receipt(logged * last_report, Some(2)), NOW),
+        meter.on_receipt(&receipt(logged * last_report, Some(2)), NOW),
         lost
     );
     let left = if logged == 1 {
@@ -104,7 +104,7 @@
 fn windows_follow_the_leaders_time(#[case] at: u64, #[case] window: u64) {
     let mut meter = meter();
     // The leader's time is 12 s, this process's clock shows 4 s.
-    meter.take(&receipt(0, None), Millis(4_000));
+    meter.on_receipt(&receipt(0, None), Millis(4_000));
     begin(&mut meter, "one", at);
     assert_eq!(counts(&meter.report())[0].0, window);
 }
