--- a/components/forwarding/src/admission.rs
+++ b/components/forwarding/src/admission.rs
@@ -74,8 +74,8 @@
     },
 }
 
-/// Fraction of the objective. Below it a wait doesn't count: nothing is deferred or
-/// refused while engines are free.
+/// A wait of up to this fraction of the objective doesn't count, so that nothing is
+/// deferred or refused while engines are free.
 const SHORT_WAIT_FRACTION: f64 = 0.25;
 /// Multiple of the objective above which a predicted time counts as late. Half of the
 /// requests that are predicted to be just late are in time, and deferring one of these
--- a/components/forwarding/src/backend_groups.rs
+++ b/components/forwarding/src/backend_groups.rs
@@ -56,7 +56,7 @@
         self.groups.retain(|_, group| group.count > 0);
     }
 
-    /// Moves a back end from the group with `old_key` to its present group.
+    /// Moves a back end from the group with `old_key` to its current group.
     pub(crate) fn update_group(&mut self, old_key: &GroupKey, backend: &mut Backend) {
         if *old_key == group_key(backend) {
             return;
--- a/components/forwarding/src/backends.rs
+++ b/components/forwarding/src/backends.rs
@@ -61,13 +61,15 @@
         self.own_uncached.total() + self.peers.uncached(now).total()
     }
 
-    /// Of these, tokens that are prefilled before a new request of this engine priority.
+    /// Estimated uncached tokens that are prefilled before a new request of this engine
+    /// priority.
     pub fn tokens_ahead_of(&self, engine_priority: u8, now: Millis) -> u64 {
         self.own_uncached.ahead_of(engine_priority)
             + self.peers.uncached(now).ahead_of(engine_priority)
     }
 
-    /// Of these, tokens of peer gateways' requests, as the leader reported them.
+    /// The tokens of [`Self::tokens_ahead_of`] that belong to peer gateways' requests, as
+    /// the leader reported them.
     pub(crate) fn peer_tokens_ahead_of(&self, engine_priority: u8, now: Millis) -> u64 {
         self.peers.uncached(now).ahead_of(engine_priority)
     }
@@ -204,7 +206,7 @@
     }
 
     /// Applies a newer record. Returns `true` if it belongs to another start of the
-    /// back end, whose caches and state are empty; own requests in flight at the former
+    /// back end, whose caches and state are empty; own requests in flight at the previous
     /// start end by themselves.
     pub fn update(&mut self, record: &BackendRecord) -> bool {
         self.registration = record.registration.clone();
@@ -248,7 +250,7 @@
         self.role.is_some_and(EngineRole::generates)
     }
 
-    /// Whether the fleet reports it as failing and another gateway probes it.
+    /// Whether the leader reports it as failing and another gateway probes it.
     fn is_failing(&self, now: Millis) -> bool {
         let is_recent = |at: Millis| now.since(at) <= FAILING_LIFETIME;
         !self.may_probe && self.failing_at.is_some_and(is_recent)
--- a/components/forwarding/src/cache_lifetime.rs
+++ b/components/forwarding/src/cache_lifetime.rs
@@ -6,7 +6,7 @@
 use garnet_types::Millis;
 
 /// Time constant of the exponential decay. It covers some dozen prompts of each gateway
-/// in a large fleet, and is as long as a swing of the request mix.
+/// in a large fleet, and is about the time in which the request mix changes.
 const DECAY_TIME: Millis = Millis::from_secs(10);
 
 /// Rate of prompt tokens at one gateway.
--- a/components/forwarding/src/forwarder/admission.rs
+++ b/components/forwarding/src/forwarder/admission.rs
@@ -13,10 +13,10 @@
 use super::{Forwarder, Learned};
 
 impl Forwarder {
-    /// Chooses where a new request goes, and whether it is sent now. If the owners of its
-    /// prefix have no time, any engine that has time takes it, provided that the
-    /// estimates are fresh enough to tell: prefilling a prefix again costs less than a
-    /// late answer.
+    /// Chooses where a new request goes, and whether it is sent now. If its answer would
+    /// be late at the owners of its prefix, any engine that would be in time takes it,
+    /// provided that the estimates are fresh enough to tell: prefilling a prefix again
+    /// costs less than a late answer.
     pub fn place_new(
         &mut self,
         service: &ServiceId,
@@ -50,9 +50,9 @@
         Some((placement, admission))
     }
 
-    /// Returns the refusal of a new request for which waiting for a connection is
-    /// useless, since the engines have no time for it. `None` if they have, or if no
-    /// engine takes it.
+    /// Returns the refusal of a new request for which no connection is free, if it would be
+    /// refused even with one, so that waiting for a connection is useless. `None` if it
+    /// would not be refused, or if no engine takes it.
     fn refuse_new(
         &self,
         service: &ServiceId,
@@ -163,7 +163,7 @@
             return self.backends.get(engine).map(queue).unwrap_or_default();
         }
         let decode_engines = self.decode_engines_of(service);
-        // An engine whose rate limit leaves it to peer gateways has no slot to wait for.
+        // An engine with a rate limit has a slot for this gateway only with a permit.
         let may_send = |backend: &&Backend| {
             !backend.has_limit || self.limits.may_send(&backend.registration.id, now)
         };
@@ -258,7 +258,7 @@
     excess: f64,
     /// Mean interval at which a slot is released.
     release_interval_ms: f64,
-    /// Number of engines with such queues.
+    /// Number of engines among which this one has the shortest wait.
     engines: usize,
 }
 
--- a/components/forwarding/src/forwarder/availability.rs
+++ b/components/forwarding/src/forwarder/availability.rs
@@ -25,8 +25,8 @@
         backend.is_some_and(|backend| backend.availability.report_draining(now))
     }
 
-    /// Records that a request is sent. Returns the probe that the request is, if its back
-    /// end is recovering from a backoff.
+    /// Records that a request is sent. If its back end is recovering from a backoff, the
+    /// request counts as a probe, which is returned.
     pub fn begin_probe(&mut self, id: &BackendId, now: Millis) -> Option<Probe> {
         self.backends.get_mut(id)?.availability.sent(now)
     }
--- a/components/forwarding/src/forwarder/configuration.rs
+++ b/components/forwarding/src/forwarder/configuration.rs
@@ -39,7 +39,7 @@
         None
     }
 
-    /// Records that a new connection to the leader, of this version, was opened.
+    /// Records that a new connection to the leader was opened, with this encoding version.
     pub fn connected(&mut self, version: EncodingVersion) {
         self.loader.on_connected();
         self.resend_runs();
--- a/components/forwarding/src/forwarder/limits.rs
+++ b/components/forwarding/src/forwarder/limits.rs
@@ -19,7 +19,8 @@
     Limited(RequestRate),
     /// A valid answer without a limit.
     Unlimited,
-    /// The answer tells neither.
+    /// The limit is malformed, or it is missing from an answer that shows nothing by that,
+    /// such as an error.
     Unknown,
 }
 
@@ -131,9 +132,9 @@
             .request_permit(limited.iter(), work.priority, now)
     }
 
-    /// Asks for a permit with one in as many requests as there are gateways, whether this
-    /// gateway needs one or not. So the permits of a limited engine are used, and the end
-    /// of its limit is noticed, also while other engines have capacity.
+    /// Asks for a permit with one in n requests, where n is the number of gateways, even if
+    /// the request needs none. A limited engine is thus sent requests, and the end of its
+    /// limit is noticed, also while other engines have capacity.
     pub fn ask_for_spare_permit(
         &mut self,
         service: &ServiceId,
--- a/components/forwarding/src/forwarder/load_exchange.rs
+++ b/components/forwarding/src/forwarder/load_exchange.rs
@@ -50,8 +50,8 @@
     evidence: BTreeMap<BackendId, Evidence>,
 }
 
-/// Mean age of estimates of peers' work when they are used. Reports and digests arrive at
-/// the same interval.
+/// Mean age of estimates of peers' work when they are used, estimated as the mean interval
+/// between two digests: peers' reports reach the leader at the same interval.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct EstimateAge {
     received_at: Option<Millis>,
@@ -173,10 +173,10 @@
         )
     }
 
-    /// Number of engines to compare for a prompt without an owner. It falls as estimates
-    /// get older than the time that a prompt stays at an engine: older estimates tell
-    /// nothing about the present queue, and gateways that all follow them choose the same
-    /// engine.
+    /// Number of engines to compare for a prompt whose shared prefix is too short to have
+    /// owners. It falls as estimates get older than the time that a prompt stays at an
+    /// engine: older estimates tell nothing about the present queue, and gateways that all
+    /// follow them choose the same engine.
     pub(super) fn engines_to_sample(&self, service: &ServiceId) -> usize {
         let prefill = self.mean_prefill_time(service).0 as f64;
         let fresh = prefill / self.estimate_age.mean_ms.max(1.0);
--- a/components/forwarding/src/forwarder/mod.rs
+++ b/components/forwarding/src/forwarder/mod.rs
@@ -322,22 +322,24 @@
 
     /// Counts the first attempt of a request.
     pub fn earn_repeats(&mut self, service: &ServiceId, now: Millis) {
-        let share = self.settings.budget;
-        self.budget(service, now).earn(&share, now);
+        let shared_budget = self.settings.budget;
+        self.budget(service, now).earn(&shared_budget, now);
     }
 
     /// Spends one repeat from the service's budget; returns `false` if none is left.
     pub fn spend_repeat(&mut self, service: &ServiceId, now: Millis) -> bool {
-        let share = self.settings.budget;
+        let shared_budget = self.settings.budget;
         let gateways = self.gateways_that_share();
-        self.budget(service, now).spend(&share, gateways, now)
+        self.budget(service, now)
+            .spend(&shared_budget, gateways, now)
     }
 
     /// Whether a repeat could be spent now.
     pub fn has_repeat(&mut self, service: &ServiceId, now: Millis) -> bool {
-        let share = self.settings.budget;
+        let shared_budget = self.settings.budget;
         let gateways = self.gateways_that_share();
-        self.budget(service, now).has_left(&share, gateways, now)
+        self.budget(service, now)
+            .has_left(&shared_budget, gateways, now)
     }
 
     fn gateways_that_share(&self) -> u64 {
--- a/components/forwarding/src/peer_load.rs
+++ b/components/forwarding/src/peer_load.rs
@@ -107,7 +107,7 @@
         self.estimate_at(now, |in_flight| in_flight.requests)
     }
 
-    /// Estimated tokens of KV cache that these hold.
+    /// Estimated tokens of KV cache that peers' requests hold.
     pub(crate) fn held_tokens(&self, now: Millis) -> u64 {
         self.estimate_at(now, |in_flight| in_flight.held_tokens)
     }
--- a/components/forwarding/src/placement.rs
+++ b/components/forwarding/src/placement.rs
@@ -55,9 +55,10 @@
     pub ignore_connections: bool,
     /// Whether any engine may prefill a prompt, instead of only the owners of its prefix.
     pub any_engine: bool,
-    /// Number of prefill engines to compare for a prompt that has no owner.
+    /// Number of prefill engines to compare for a prompt whose shared prefix is too short
+    /// to have owners.
     pub sampled: usize,
-    /// Random number of this request, which breaks ties.
+    /// A number that differs between requests, to break ties and to draw a random sample.
     pub draw: u64,
 }
 
--- a/components/forwarding/src/prefill_choice.rs
+++ b/components/forwarding/src/prefill_choice.rs
@@ -38,8 +38,8 @@
     pub(crate) engine: &'a EngineView<'b>,
     /// An engine that holds more of the prefix, to copy from.
     pub(crate) source: Option<&'a EngineView<'b>>,
-    /// Prompt tokens that are prefilled before this request's first token, and those that
-    /// delay other requests because of it.
+    /// Prompt tokens that are prefilled before this request's first token, plus the tokens
+    /// of this prefill once for each other request at the engine, which it delays.
     pub(crate) cost: u64,
 }
 
@@ -48,9 +48,10 @@
 pub(crate) struct PrefillSearch {
     /// Whether all engines are compared.
     pub(crate) any_engine: bool,
-    /// Number of engines to compare for a prompt that has no owner.
+    /// Number of engines to compare for a prompt whose shared prefix is too short to have
+    /// owners.
     pub(crate) sampled: usize,
-    /// Random number of the request and the gateway.
+    /// A number that differs between requests and gateways, to draw a random sample.
     pub(crate) draw: u64,
     /// The current time.
     pub(crate) now: Millis,
@@ -101,8 +102,8 @@
 
 /// Returns the engines to compare: the owners of a shared prefix. A prompt without one
 /// may go anywhere. A random sample is drawn for each request, since other gateways
-/// choose by the same estimates meanwhile, and comparing all engines would send all of
-/// them to the same one.
+/// choose by the same estimates meanwhile: if each compared all engines, all gateways would
+/// choose the same one.
 fn candidates<'a, 'b>(
     engines: &[&'a EngineView<'b>],
     owners: Vec<&'a EngineView<'b>>,
@@ -186,7 +187,7 @@
 }
 
 /// What an engine prefills, and what it copies before.
-struct Copy<'a, 'b> {
+struct CopyPlan<'a, 'b> {
     /// Tokens to prefill.
     to_prefill: u64,
     /// Time of the copy, in tokens that could be prefilled in it.
@@ -200,11 +201,11 @@
     held: u64,
     sources: &[Source<'a, 'b>],
     prompt: &Prompt,
-) -> Copy<'a, 'b> {
+) -> CopyPlan<'a, 'b> {
     let uncached = prompt.tokens - held;
     let copying = |source: &Source<'a, 'b>| {
         let copied = source.tokens.saturating_sub(held);
-        Copy {
+        CopyPlan {
             to_prefill: prompt.tokens.saturating_sub(source.tokens.max(held)),
             cost: copy_cost(engine, source.engine, copied),
             source: Some(source.engine),
@@ -218,7 +219,7 @@
         .min_by_key(|copy| copy.to_prefill + copy.cost);
     cheapest
         .filter(|copy| copy.to_prefill + copy.cost < uncached)
-        .unwrap_or(Copy {
+        .unwrap_or(CopyPlan {
             to_prefill: uncached,
             cost: 0,
             source: None,
--- a/components/forwarding/src/retry_budget.rs
+++ b/components/forwarding/src/retry_budget.rs
@@ -1,7 +1,8 @@
 //! This gateway's share of a service's retry budget.
 //!
-//! In any window, all gateways together may send a service a limited number of repeats: a
-//! fraction of its requests, and a fixed number on top. The fraction applies to each
+//! A repeat is an attempt of a request that reached a back end before. In any window, all
+//! gateways together may send a service a limited number of repeats: a fraction of its
+//! requests, and a fixed number on top. The fraction applies to each
 //! gateway's own requests; the fixed number is divided among the gateways that the leader
 //! counts.
 //!
@@ -58,14 +59,14 @@
 
     /// Counts a first attempt.
     pub(crate) fn earn(&mut self, budget: &SharedRetryBudget, now: Millis) {
-        self.present_slot(budget, now).requests += 1;
+        self.current_slot(budget, now).requests += 1;
     }
 
     /// Spends one repeat; returns `false` if none is left.
     pub(crate) fn spend(&mut self, budget: &SharedRetryBudget, gateways: u64, now: Millis) -> bool {
         let allowed = self.has_left(budget, gateways, now);
         if allowed {
-            self.present_slot(budget, now).repeats += 1;
+            self.current_slot(budget, now).repeats += 1;
         }
         allowed
     }
@@ -77,16 +78,16 @@
         gateways: u64,
         now: Millis,
     ) -> bool {
-        self.present_slot(budget, now);
+        self.current_slot(budget, now);
         let spent: u64 = self.slots.iter().map(|slot| slot.repeats).sum();
         spent as f64 + 1.0 <= self.allowance(budget, gateways, now)
     }
 
     fn allowance(&self, budget: &SharedRetryBudget, gateways: u64, now: Millis) -> f64 {
-        let present = slot_number(budget, now);
+        let current = slot_number(budget, now);
         // Only a part of the oldest slot lies within the window: its repeats count, its
         // requests do not.
-        let fully_inside = |slot: &&Slot| slot.number + SLOTS > present;
+        let fully_inside = |slot: &&Slot| slot.number + SLOTS > current;
         let requests: u64 = self
             .slots
             .iter()
@@ -99,14 +100,14 @@
         SAFE_FRACTION * (budget.per_request * requests as f64 + extra)
     }
 
-    fn present_slot(&mut self, budget: &SharedRetryBudget, now: Millis) -> &mut Slot {
+    fn current_slot(&mut self, budget: &SharedRetryBudget, now: Millis) -> &mut Slot {
         let number = slot_number(budget, now);
         let is_expired = |slot: &Slot| slot.number + SLOTS < number;
         while self.slots.front().is_some_and(is_expired) {
             self.slots.pop_front();
         }
-        let is_present = self.slots.back().is_some_and(|slot| slot.number == number);
-        if !is_present {
+        let is_current = self.slots.back().is_some_and(|slot| slot.number == number);
+        if !is_current {
             self.slots.push_back(Slot {
                 number,
                 requests: 0,
--- a/components/forwarding/src/work.rs
+++ b/components/forwarding/src/work.rs
@@ -24,8 +24,8 @@
     pub tokens: u64,
 }
 
-/// Shared prefixes up to this length have no owners, since caching them saves little: any
-/// prefill engine takes them.
+/// Shared prefixes up to this length are not assigned to owner engines, since caching them
+/// saves little: any prefill engine takes them.
 pub(crate) const MAX_IGNORED_PREFIX_TOKENS: u64 = 1_000;
 
 /// The known facts of a prompt.
@@ -46,14 +46,14 @@
 
 impl Work {
     /// Whether a stream that can't be resumed on another back end probably runs for
-    /// longer than `left`. The caller's `remaining` time is enough for the maximum
-    /// output; the likely fraction of the output takes the same fraction of the time.
-    pub fn outlasts(&self, remaining: Millis, left: Millis) -> bool {
+    /// longer than `available`. Assumes that the maximum output takes all of the caller's
+    /// `remaining` time, and the likely fraction of the output that fraction of the time.
+    pub fn outlasts(&self, remaining: Millis, available: Millis) -> bool {
         if self.kind.may_repeat() {
             return false;
         }
         let likely_fraction = self.prompt.as_ref().map_or(0.0, Prompt::likely_fraction);
-        remaining.0 as f64 * likely_fraction > left.0 as f64
+        remaining.0 as f64 * likely_fraction > available.0 as f64
     }
 
     /// Priority of the request at an engine of its service, 0 first. Each doubling of the
--- a/components/forwarding/tests/core/admission.rs
+++ b/components/forwarding/tests/core/admission.rs
@@ -130,7 +130,7 @@
     assert_eq!(
         retry_after,
         Millis(600),
-        "a third of the time is not passed"
+        "at most 0.3 of the remaining time"
     );
 }
 
@@ -226,7 +226,7 @@
         gateway.fill_in_likely_output(&words(), &mut prompt);
         prompt.likely_output()
     };
-    assert_eq!(likely(None), 1_000, "nobody has guessed yet");
+    assert_eq!(likely(None), 1_000, "no caller has guessed yet");
     for _ in 0..1_000 {
         assert_eq!(likely(Some(300)), 300);
     }
--- a/components/forwarding/tests/core/availability.rs
+++ b/components/forwarding/tests/core/availability.rs
@@ -151,7 +151,7 @@
     assert!(!update(&mut gateway, 6, 7));
     assert!(
         !update(&mut gateway, 7, garnet_control::UNTOLD_START),
-        "nothing is told"
+        "an unknown start is no restart"
     );
     assert!(!update(&mut gateway, 8, 7));
     assert!(update(&mut gateway, 9, 8));
@@ -304,7 +304,10 @@
     let records = all();
     let mut gateway = forwarder(&records);
     assert!(gateway.note_draining(&id(name), NOW));
-    assert!(!gateway.note_draining(&id(name), NOW), "no news");
+    assert!(
+        !gateway.note_draining(&id(name), NOW),
+        "it was already draining"
+    );
     gateway.succeeded(&id(name));
     let updated = configuration(6, table(2, &[("till", 1)]), &records);
     gateway.update(WatchUpdate::Snapshot(updated.into()));
--- a/components/forwarding/tests/core/configuration.rs
+++ b/components/forwarding/tests/core/configuration.rs
@@ -106,7 +106,7 @@
     assert_eq!(
         forwarder.configuration_index(),
         0,
-        "a replica tells it again"
+        "a replica can supply one again"
     );
     assert!(forwarder.route("shop.example", "/offers/1").is_none());
 }
--- a/components/forwarding/tests/core/limits.rs
+++ b/components/forwarding/tests/core/limits.rs
@@ -235,7 +235,7 @@
 fn a_limit_ends_when_the_leader_drops_it() {
     let mut gateway = forwarder(&instances());
     limit(&mut gateway, "till-a");
-    let first = gateway.limit_reports(NOW).expect("it was heard");
+    let first = gateway.limit_reports(NOW).expect("a report");
     assert_eq!(first.reports.len(), 1);
     // The leader has not applied the reports yet.
     assert_eq!(list(&mut gateway, 4, &[]), []);
@@ -255,7 +255,9 @@
     list(&mut gateway, 4, &["till-a", "till-b"]);
     assert_eq!(gateway.limit_reports(NOW), None);
     assert_eq!(list(&mut gateway, 5, &[]), []);
-    let resent = gateway.limit_reports(NOW).expect("it is told anew");
+    let resent = gateway
+        .limit_reports(NOW)
+        .expect("a report to the new leader");
     assert_eq!(resent.reports.len(), 2);
     assert_eq!(gateway.limited_backends(), 2);
 }
@@ -268,9 +270,9 @@
     let mut gateway = forwarder(&instances());
     list(&mut gateway, 4, &[]);
     limit(&mut gateway, "till-a");
-    let lost = gateway.limit_reports(NOW).expect("it was heard");
+    let lost = gateway.limit_reports(NOW).expect("a report");
     limit(&mut gateway, "till-b");
-    let second = gateway.limit_reports(NOW).expect("news");
+    let second = gateway.limit_reports(NOW).expect("a report");
     assert_eq!(second.reports.len(), 2);
     assert_eq!(list_after_reports(&mut gateway, 4, lost.number, &[]), []);
     let both = ["till-a", "till-b"];
@@ -309,7 +311,7 @@
     gateway.note_limit(&id("till-a"), ReportedLimit::Unlimited, NOW, later);
     assert_eq!(gateway.limit_reports(later), None);
     gateway.note_limit(&id("till-a"), ReportedLimit::Unlimited, later, later);
-    let reports = gateway.limit_reports(later).expect("news").reports;
+    let reports = gateway.limit_reports(later).expect("a report").reports;
     assert_eq!(reports[0].rate, None);
 }
 
--- a/components/forwarding/tests/core/placement.rs
+++ b/components/forwarding/tests/core/placement.rs
@@ -253,7 +253,7 @@
     assert!(priority_at_engine(0, 9_000) < priority_at_engine(2, 9_000));
     assert!(
         priority_at_engine(2, 500) < priority_at_engine(0, 40_000),
-        "it holds nobody up"
+        "a short prefill delays no other request"
     );
     assert_eq!(priority_at_engine(0, 0), 0);
     assert_eq!(priority_at_engine(255, 40_000), 9);
--- a/components/limits/src/bucket.rs
+++ b/components/limits/src/bucket.rs
@@ -12,8 +12,8 @@
 
 /// One permit, in the unit of the bucket.
 pub(crate) const PERMIT_MICROS: u64 = 1_000_000;
-/// Permits that the bucket holds at any rate, so that a request after a pause is granted one
-/// at once and some can be reserved for more urgent requests.
+/// Permits that the bucket holds whatever the limit, so that a request after a pause is granted
+/// one at once and some can be reserved for more urgent requests.
 const BASE_DEPTH: u64 = 3;
 /// The bucket also holds the permits of this duration, since at high rates requests arrive in
 /// bursts.
--- a/components/limits/src/ledger.rs
+++ b/components/limits/src/ledger.rs
@@ -32,7 +32,7 @@
     limit_reported_at: Millis,
     /// When the last report arrived, with or without a limit.
     reported_at: Millis,
-    /// Consecutive answers without a limit since then.
+    /// Consecutive answers without a limit since the last one with a limit.
     answers_without_limit: u32,
     bucket: PermitBucket,
     demand: Demand,
--- a/components/quarantine/src/crash.rs
+++ b/components/quarantine/src/crash.rs
@@ -7,8 +7,8 @@
 use crate::fingerprint::RequestFingerprint;
 
 /// Number of engine crashes during runs of a request after which the request is refused. Two may
-/// be chance: the request ran twice beside one that crashes engines. The users' rule asks for an
-/// end after the third.
+/// be chance: the request ran twice on the same engine as one that crashes engines. The users
+/// require that a request crash no further engine after the third.
 pub const CRASH_THRESHOLD: usize = 3;
 
 /// One start of an engine. If each start has its own back-end name, the incarnation is always the
@@ -24,7 +24,7 @@
 /// How a run ended, for the ends that count for or against its request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RunEnd {
-    /// The run broke off in the way in which a crash of this engine breaks it off.
+    /// The run broke off as it does when its engine, this one, crashes.
     Crashed(EngineStart),
     /// The run completed.
     Completed,
--- a/components/quarantine/src/crash_log.rs
+++ b/components/quarantine/src/crash_log.rs
@@ -58,7 +58,7 @@
         self.entries.is_empty() && self.leader_suspects.is_empty()
     }
 
-    /// Records a run that broke off in the way in which an engine crash breaks it off.
+    /// Records a run that broke off as it does when its engine crashes.
     pub fn crashed(&mut self, fingerprint: RequestFingerprint, engine: EngineStart, now: Millis) {
         self.record(fingerprint, RunEnd::Crashed(engine), now);
     }
@@ -103,7 +103,8 @@
     }
 
     /// Whether the runs recorded here suffice to refuse a request without the leader: no other
-    /// request ran at all of these crashes, or there was one crash more than the threshold.
+    /// request was running during every one of these crashes, or there was one crash more than
+    /// the threshold.
     fn is_certain_cause(
         &self,
         fingerprint: RequestFingerprint,
--- a/components/quarantine/src/isolation.rs
+++ b/components/quarantine/src/isolation.rs
@@ -7,7 +7,7 @@
 
 /// The one back end at which a suspected request runs, by rendezvous hashing: all gateways with
 /// the same back ends choose the same one. Overlapping attempts of the request then crash one
-/// engine rather than several, and requests that only ran beside a crash complete elsewhere.
+/// engine rather than several, and requests that did not cause the crash complete on another one.
 pub fn isolation_backend<'a>(
     fingerprint: RequestFingerprint,
     backends: impl Iterator<Item = &'a BackendId>,
--- a/components/quarantine/src/tracker.rs
+++ b/components/quarantine/src/tracker.rs
@@ -21,7 +21,7 @@
 /// Time within which all gateways have reported a crash: the longest interval between two reports
 /// of a gateway, plus the network delay.
 const REPORT_DELAY: Millis = Millis(350);
-/// Time after a supposed crash in which an answer of the engine may still be from before it. A
+/// Time after a reported crash in which an answer of the engine may still be from before it. A
 /// later answer shows that the engine did not crash and only a connection broke.
 const STALE_ANSWER_WINDOW: Millis = Millis::from_secs(5);
 
@@ -39,7 +39,7 @@
 /// The crashes during runs of a request.
 #[derive(Debug, Clone)]
 struct Crashes {
-    /// Number of crashes at which a refused request ran too.
+    /// Number of crashes during which a refused request was running too.
     explained: usize,
     /// Times of the first reports of the other crashes, oldest first.
     unexplained: Vec<Millis>,
@@ -50,9 +50,9 @@
         self.explained + self.unexplained.len()
     }
 
-    /// Number of unexplained crashes at which the request is refused. Two requests that crash
-    /// engines may run at the same crashes. When one is refused for them, the other one is cleared
-    /// of these but needs fewer further crashes to be refused.
+    /// Number of unexplained crashes after which the request is refused. Two requests that both
+    /// crash engines may be running during the same crashes. When one is refused for these, they
+    /// no longer count against the other one, but it needs fewer further crashes to be refused.
     fn threshold(&self) -> usize {
         match self.explained {
             0 => CRASH_THRESHOLD,
@@ -93,9 +93,9 @@
 pub struct CrashTracker {
     tracked: BTreeMap<RequestFingerprint, TrackedRequest>,
     refused: BTreeSet<RequestFingerprint>,
-    /// Engines that are supposed to have crashed, with the time of the first report. Their crashes
-    /// are dropped if the engine still answers.
-    ended_engines: BTreeMap<BackendId, Millis>,
+    /// Engines whose crash was reported, with the time of the first report. The crash is dropped
+    /// if the engine still answers.
+    crashed_engines: BTreeMap<BackendId, Millis>,
     suspected: Vec<RequestFingerprint>,
     /// Whether anything has changed that [`Self::decide`] has not taken into account.
     has_changed: bool,
@@ -125,23 +125,23 @@
                     return;
                 }
                 tracked.engines.entry(engine.clone()).or_insert(now);
-                self.ended_engines
+                self.crashed_engines
                     .entry(engine.backend.clone())
                     .or_insert(now);
             }
         }
     }
 
-    /// Records that an engine answered a request. If its supposed crash is long enough ago, it did
-    /// not crash.
+    /// Records that an engine answered a request. If its crash was reported long enough ago, the
+    /// answer shows that it did not crash, and the crash is dropped.
     pub fn answered(&mut self, backend: &BackendId, now: Millis) {
-        let Some(ended_at) = self.ended_engines.get(backend) else {
+        let Some(crash_reported_at) = self.crashed_engines.get(backend) else {
             return;
         };
-        if now.since(*ended_at) < STALE_ANSWER_WINDOW {
+        if now.since(*crash_reported_at) < STALE_ANSWER_WINDOW {
             return;
         }
-        self.ended_engines.remove(backend);
+        self.crashed_engines.remove(backend);
         for tracked in self.tracked.values_mut() {
             let is_kept = |engine: &EngineStart, at: &Millis| {
                 engine.backend != *backend || now.since(*at) < STALE_ANSWER_WINDOW
@@ -164,7 +164,7 @@
                 .values()
                 .all(|crashes| crashes.are_fully_reported(now))
             {
-                // Reports of other requests at the same crashes may still arrive.
+                // Reports of other requests that ran during these crashes may still arrive.
                 self.suspected = self.compute_suspected();
                 return newly_refused;
             }
@@ -234,7 +234,7 @@
         })
     }
 
-    /// Restores a suspected request that a former leader stored.
+    /// Restores a suspected request that a previous leader stored.
     pub fn restore(&mut self, suspected: SuspectedRequest, now: Millis) {
         let tracked = self.tracked.entry(suspected.fingerprint).or_default();
         tracked.reported_at = now;
@@ -272,7 +272,7 @@
         let is_old = |reported_at| now.since(reported_at) > CRASH_LIFETIME;
         self.tracked
             .retain(|id, tracked| refused.contains(id) || !is_old(tracked.reported_at));
-        self.ended_engines.retain(|_, at| !is_old(*at));
+        self.crashed_engines.retain(|_, at| !is_old(*at));
         self.has_changed |= self.tracked.len() != before;
     }
 
--- a/components/quarantine/tests/crashes/log.rs
+++ b/components/quarantine/tests/crashes/log.rs
@@ -27,7 +27,7 @@
     );
 }
 
-/// If another request ran at all three crashes, the gateway can't tell which one is the cause and
+/// If another request was running during all three crashes, the gateway can't tell which one is the cause and
 /// leaves the decision to the leader, which has the reports of all gateways. A fourth crash
 /// suffices without the leader.
 #[test]
--- a/components/quarantine/tests/crashes/main.rs
+++ b/components/quarantine/tests/crashes/main.rs
@@ -1,4 +1,4 @@
-//! Suspicion and refusal of requests that run at engine crashes.
+//! Suspicion and refusal of requests that are running when engines crash.
 
 mod log;
 mod tracker;
--- a/components/quarantine/tests/crashes/tracker.rs
+++ b/components/quarantine/tests/crashes/tracker.rs
@@ -65,8 +65,9 @@
     }
 }
 
-/// A crash ends all runs on the engine. The request that ran at three crashes is refused; requests
-/// that ran beside it at two are not, and these crashes no longer count against them.
+/// A crash ends all runs on the engine. The request that was running during three crashes is
+/// refused; those that were running during two of them are not, and these crashes no longer count
+/// against them.
 #[test]
 fn requests_beside_the_cause_are_not_refused() {
     let mut leader = Leader::new();
@@ -94,8 +95,9 @@
     assert!(leader.receive(again).is_empty());
 }
 
-/// Two requests that crash engines run at the same crashes. The one with more crashes is refused
-/// for them; the other one is refused after further crashes, at which the first no longer runs.
+/// Two requests that both crash engines are running during the same crashes. The one with more
+/// crashes is refused for these; the other one is refused after further crashes, when the first
+/// one no longer runs.
 #[test]
 fn one_cause_does_not_hide_another() {
     let mut leader = Leader::new();
@@ -109,8 +111,8 @@
     assert_eq!(leader.receive(vec![crashed("two", "e4")]), [request("two")]);
 }
 
-/// One gateway reports the crashes of a request that only ran beside the cause before another
-/// gateway reports those of the cause.
+/// One gateway reports the crashes of a request that only ran on the same engines as the cause
+/// before another gateway reports those of the cause.
 #[test]
 fn no_request_is_refused_before_all_gateways_have_reported() {
     let mut leader = Leader::new();
@@ -229,7 +231,8 @@
 
 proptest! {
     /// The request that runs at every crash is refused after the third, once all gateways have
-    /// reported, whatever other requests run beside it and in whatever order they are reported.
+    /// reported, whatever other requests run on the same engines and in whatever order they are
+    /// reported.
     #[test]
     fn the_cause_is_always_refused_after_three_crashes(
         beside in proptest::collection::vec(proptest::collection::btree_set(0u8..12, 0..8), 3..5),
@@ -248,7 +251,7 @@
             refused.extend(leader.receive(runs));
             prop_assert_eq!(refused.contains(&request("bad")), index >= 2);
         }
-        // Any other refused request ran at the same three crashes.
+        // Any other refused request was running during the same three crashes.
         for number in 0u8..12 {
             let was_at = beside.iter().take(3).filter(|set| set.contains(&number)).count();
             let is_refused = refused.contains(&request(&format!("beside-{number}")));
--- a/components/routing/src/availability.rs
+++ b/components/routing/src/availability.rs
@@ -10,8 +10,8 @@
 use crate::backoff::{Backoff, Probe};
 use crate::retry_after::RetryAfter;
 
-/// How long a report of draining holds. A back end that still exists after this time has
-/// restarted, if its starts are not reported.
+/// How long a report of draining holds. A back end whose starts are not reported and that still
+/// exists after this time is assumed to have restarted.
 const DRAINING_REPORT_LIFETIME: Millis = Millis::from_secs(300);
 
 /// The availability that one back end reported.
--- a/components/routing/src/cost.rs
+++ b/components/routing/src/cost.rs
@@ -13,14 +13,14 @@
     pub capacity: EngineCapacity,
 }
 
-/// The work that a request is for an engine.
+/// The size of a request, as the work of an engine.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct WorkShape {
     /// Tokens of the prompt.
     pub prompt_tokens: u64,
-    /// Of these, tokens whose KV cache the engine is estimated to hold.
+    /// Prompt tokens whose KV cache the engine is estimated to hold.
     pub cached_tokens: u64,
-    /// Of these, tokens whose KV cache is transferred from another engine.
+    /// Prompt tokens whose KV cache is transferred from another engine.
     pub transferred_tokens: u64,
     /// Expected number of generated tokens.
     pub output_tokens: u64,
