--- a/bin/garnet-bench/src/fleet.rs
+++ b/bin/garnet-bench/src/fleet.rs
@@ -10,9 +10,12 @@
     UNTOLD_START, WatchUpdate,
 };
 use garnet_forwarding::{
-    Arrival, BudgetShare, Forwarder, ForwarderSettings, Prompt, PromptPart, ReportedLimit, Work,
+    Arrival, Forwarder, ForwarderSettings, Prompt, PromptPart, ReportedLimit, SharedRetryBudget,
+    Work,
+};
+use garnet_limits::{
+    LimitLedger, LimitReport, PermitOutcome, PermitRequest, RateError, RequestRate,
 };
-use garnet_limits::{LimitLedger, LimitReport, PermitAsk, PermitOutcome, RateError, RequestRate};
 use garnet_routes::{EngineLimits, RouteTable, ServiceSettings, WorkKind};
 use garnet_types::{
     BackendId, BackendKind, EngineAssignment, EngineRole, MachineState, Millis, ModelId, PrefixId,
@@ -62,7 +65,7 @@
         waited: Millis::ZERO,
         deadline: Millis(6_000),
         remaining: Millis(6_000),
-        came_back: false,
+        is_retry: false,
     };
     each("place a prompt", rounds, |_| {
         gateway.place_new(&service, &work, &arrival, NOW).is_some()
@@ -81,13 +84,13 @@
         gateway.report(NOW).backlogs.is_empty()
     });
     let mut ledger = ledger(limited)?;
-    let ask = PermitAsk {
+    let ask = PermitRequest {
         number: 1,
         backends: (0..limited.min(ASKED)).map(id).collect(),
-        rank: 2,
+        priority: 2,
     };
     each("give a permit", rounds, |round| {
-        let answer = ledger.ask(&ask, NOW + Millis(round * 100));
+        let answer = ledger.request_permit(&ask, NOW + Millis(round * 100));
         matches!(answer.outcome, PermitOutcome::Granted { .. })
     });
     let changed = record(7, MachineState::Leaving);
@@ -146,7 +149,7 @@
 fn gateway(engines: usize) -> Forwarder {
     let mut gateway = Forwarder::new(ForwarderSettings {
         zone: "a".to_owned(),
-        budget: BudgetShare {
+        budget: SharedRetryBudget {
             per_request: 0.2,
             extra: 50.0,
             window: Millis::from_secs(10),
@@ -218,7 +221,7 @@
             rate,
             ago: Millis::ZERO,
         };
-        ledger.note(&report, NOW);
+        ledger.apply_report(&report, NOW);
     }
     Ok(ledger)
 }
--- a/components/control/src/balancing.rs
+++ b/components/control/src/balancing.rs
@@ -8,7 +8,7 @@
 
 use garnet_planner::{
     BalanceSettings, PhaseOccupancy, initial_prefill_engines, take_from_fullest_zones,
-    wanted_prefill_engines,
+    target_prefill_engines,
 };
 use garnet_routes::EngineLimits;
 use garnet_types::{BackendId, EngineAssignment, EngineRole, Millis, ServiceId};
@@ -384,11 +384,11 @@
             prefill,
             ..*occupancy
         };
-        let wanted = wanted_prefill_engines(&more, settings);
+        let wanted = target_prefill_engines(&more, settings);
         if wanted > occupancy.prefill_engines {
             return wanted;
         }
-        wanted_prefill_engines(&fewer, settings).min(occupancy.prefill_engines)
+        target_prefill_engines(&fewer, settings).min(occupancy.prefill_engines)
     }
 
     /// Returns whether it is too early for another change to `role`.
@@ -403,9 +403,9 @@
             return false;
         };
         let rest = if last.role == role {
-            settings.dwell
+            settings.min_dwell
         } else {
-            Millis(role_change.0 * settings.reversal_changes)
+            Millis(role_change.0 * settings.reversal_delay_factor)
         };
         now.since(last.at) < rest
     }
@@ -508,14 +508,14 @@
     let mut prefilling = 0;
     let mut decoding = 0;
     let mut decode = 0.0;
-    let mut busy_places = 0.0;
+    let mut busy_slots = 0.0;
     for Busy { role, backlog } in busy {
         if *role == EngineRole::Prefill {
             prefilling += usize::from(backlog.uncached.total() > 0);
         } else {
             decoding += 1;
             decode += occupied(backlog, limits);
-            busy_places += limits.places(backlog.requests, backlog.held_tokens);
+            busy_slots += limits.places(backlog.requests, backlog.held_tokens);
         }
     }
     let idle = roles.decode.saturating_sub(decoding);
@@ -524,7 +524,7 @@
         decode_engines: roles.decode,
         prefill: prefilling as f64 / roles.prefill.max(1) as f64,
         decode: decode / roles.decode.max(1) as f64,
-        places: busy_places + (idle as u64 * limits.slots) as f64,
+        decode_slots: busy_slots + (idle as u64 * limits.slots) as f64,
     }
 }
 
--- a/components/control/src/effects.rs
+++ b/components/control/src/effects.rs
@@ -2,7 +2,7 @@
 
 use garnet_consensus::Envelope;
 use garnet_planner::PhaseOccupancy;
-use garnet_quarantine::Verdict;
+use garnet_quarantine::RefusedRequest;
 use garnet_types::{
     BackendId, EncodingVersion, EngineAssignment, EngineOrder, EngineStatus, MachineState,
     OrderAnswer, ReplicaId,
@@ -172,7 +172,7 @@
     /// The replica has stopped applying its log until another build runs there.
     Halted(Halted),
     /// The leader quarantined a request.
-    Quarantined(Verdict),
+    Quarantined(RefusedRequest),
     /// The replica became the leader.
     BecameLeader {
         /// The term.
--- a/components/control/src/messages.rs
+++ b/components/control/src/messages.rs
@@ -1,6 +1,6 @@
 //! Messages between gateways and the leader.
 
-use garnet_limits::{LimitEntry, LimitList, LimitReports, PermitAnswer, PermitAsk};
+use garnet_limits::{LimitEntry, LimitList, LimitReports, PermitAnswer, PermitRequest};
 use garnet_quarantine::{RunReport, Suspects};
 use garnet_types::{
     BackendId, GatewayId, Millis, ModelId, PrefixId, RecordedResponse, ReplicaId, ServiceId,
@@ -150,7 +150,7 @@
         reports: LimitReports,
     },
     /// Asks for a permit to send a request to a rate-limited back end.
-    Permit(PermitAsk),
+    Permit(PermitRequest),
 }
 
 /// A replica's request to join the group, repeated until a leader sends it the log.
--- a/components/forwarding-shell/src/permits.rs
+++ b/components/forwarding-shell/src/permits.rs
@@ -6,8 +6,8 @@
 use std::collections::BTreeMap;
 
 use garnet_control::GatewayRequest;
-use garnet_forwarding::SHORTEST_RETRY;
-use garnet_limits::{Asking, PermitAnswer, PermitAsk, PermitOutcome};
+use garnet_forwarding::MIN_RETRY_AFTER;
+use garnet_limits::{PermitAnswer, PermitLookup, PermitOutcome, PermitRequest};
 use garnet_types::{GatewayId, Millis};
 use smol::channel::{Receiver, Sender, bounded};
 
@@ -64,7 +64,7 @@
         self.leader_heard_at.set(now);
     }
 
-    fn send(&self, ask: PermitAsk) -> bool {
+    fn send(&self, ask: PermitRequest) -> bool {
         let request = GatewayRequest::Permit(ask);
         self.requests.try_send(request).is_ok()
     }
@@ -124,7 +124,7 @@
     answer: &PermitAnswer,
 ) {
     let now = gateway.now();
-    gateway.forwarder.borrow_mut().permit_answered(answer, now);
+    gateway.forwarder.borrow_mut().on_permit_answer(answer, now);
     let outcome = match answer.outcome {
         PermitOutcome::Granted { .. } => "granted",
         PermitOutcome::Refused { .. } => "refused",
@@ -180,27 +180,27 @@
         forwarder.ask_for_permit(service, work, tried, now)
     };
     let retry_after = match asking {
-        Asking::Unlimited => {
+        PermitLookup::Unlimited => {
             return match wait_for_connection(gateway, running, place).await {
                 Waited::Placed(placed) => Ok(placed),
                 Waited::InVain => Err(not_placed(gateway, running)),
                 Waited::TooLong(retry_after) => Err(NotPlaced::Unavailable(retry_after)),
             };
         }
-        Asking::Closed(retry_after) => retry_after,
-        Asking::Ask(ask) => match answer_to(gateway, running, ask).await {
+        PermitLookup::Exhausted(retry_after) => retry_after,
+        PermitLookup::AskLeader(ask) => match answer_to(gateway, running, ask).await {
             // The verdict on a request may fall while it waits, and its time may pass.
             Some(_) if !may_be_sent(gateway, running) => return Err(NotPlaced::Nobody),
             Some(PermitOutcome::Granted { .. }) => match place() {
                 Some(placed) => return Ok(placed),
                 // Another request has used it.
-                None => SHORTEST_RETRY,
+                None => MIN_RETRY_AFTER,
             },
             Some(PermitOutcome::Refused { retry_after, .. }) => retry_after,
             None => RETRY_WITHOUT_LEADER,
         },
     };
-    let retry_after = retry_after.max(SHORTEST_RETRY);
+    let retry_after = retry_after.max(MIN_RETRY_AFTER);
     log::info!(
         request = running.call.facts.id.as_str(),
         service = running.service.as_str(),
@@ -246,7 +246,7 @@
 async fn answer_to<C: CallerPort, B: BackendPort>(
     gateway: &Gateway<C, B>,
     running: &Running,
-    ask: PermitAsk,
+    ask: PermitRequest,
 ) -> Option<PermitOutcome> {
     if is_leader_silent(gateway, gateway.now()) {
         gateway.metrics.permit("no_leader");
--- a/components/forwarding-shell/src/stream/placing.rs
+++ b/components/forwarding-shell/src/stream/placing.rs
@@ -1,7 +1,7 @@
 //! Which engine a stream is sent to next, and with what.
 
 use garnet_forwarding::{Admission, AttemptEnd, Placement};
-use garnet_quarantine::Standing;
+use garnet_quarantine::QuarantineStatus;
 use garnet_types::{BackendId, Millis};
 
 use crate::attempt::{OpenAnswer, attempt, failed_with, log_failure};
@@ -26,7 +26,7 @@
             // Any other gateway may take it now.
             return Err(Refused::Busy(Millis::ZERO));
         }
-        if standing(&self.gateway, &self.running.call) != Standing::Clear {
+        if standing(&self.gateway, &self.running.call) != QuarantineStatus::Clear {
             // Where it runs is said already, whoever has time.
             return Ok(self.place());
         }
@@ -57,7 +57,7 @@
             predicted_ms = predicted.0,
             objective_ms = work.objective.0,
             retry_after_ms = retry_after.0,
-            came_back = arrival.came_back;
+            came_back = arrival.is_retry;
             "admission_refused"
         );
         Err(Refused::Busy(retry_after))
@@ -96,7 +96,7 @@
         let priority = match &phase {
             // Its prompt is prefilled: it holds up nobody's first token.
             JobPhase::Decode(_) => work.priority,
-            _ => work.rank(self.uncached_tokens(&phase, &backend)),
+            _ => work.engine_priority(self.uncached_tokens(&phase, &backend)),
         };
         Job {
             phase,
--- a/components/forwarding/src/backends.rs
+++ b/components/forwarding/src/backends.rs
@@ -1,19 +1,19 @@
-//! What a gateway believes of one back end.
+//! A gateway's estimate of the state of one back end.
 
 use garnet_control::{BackendRecord, BackendRegistration, Backlog, PriorityCounts, UNTOLD_START};
 use garnet_routing::{Availability, CircuitBreaker};
 use garnet_types::{BackendId, BackendKind, EngineRole, Millis};
 
 use crate::connections::ConnectionShare;
-use crate::others::Others;
+use crate::peer_load::PeerLoad;
 use crate::work::Prompt;
 
-/// A load report older than this is not believed any more.
-const REPORT_FRESH: Millis = Millis(2000);
-/// How long the leader's word on a failing back end holds without another.
-const FAILING_FOR: Millis = Millis::from_secs(3);
+/// A load report older than this is ignored.
+const REPORT_LIFETIME: Millis = Millis(2000);
+/// How long the leader's statement that a back end fails holds without being renewed.
+const FAILING_LIFETIME: Millis = Millis::from_secs(3);
 
-/// Load as a back end tells it with an answer.
+/// The load that a back end reports with an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LoadReport {
     /// Requests that run.
@@ -28,11 +28,11 @@
 struct TimedReport {
     report: LoadReport,
     at: Millis,
-    own_then: u64,
+    own_at_report: u64,
 }
 
-/// Load of a back end: own work, what the other gateways tell of theirs, and
-/// what the back end told last.
+/// Load of a back end: this gateway's own work, the work that peer gateways report, and
+/// the last report of the back end itself.
 #[derive(Debug, Clone, Default)]
 pub struct BackendLoad {
     own: PriorityCounts,
@@ -40,49 +40,50 @@
     own_held_tokens: u64,
     /// Likely output of own requests.
     own_output_tokens: u64,
-    others: Others,
+    peers: PeerLoad,
     last_report: Option<TimedReport>,
 }
 
 impl BackendLoad {
-    /// Requests that run or wait, as far as known.
+    /// Estimated number of requests that run or wait.
     pub fn requests(&self, now: Millis) -> u64 {
         let own = self.own.total();
-        let heard = own + self.others.requests(now);
-        let told = self.fresh(now).map_or(0, |told| {
-            let all_then = told.report.running + told.report.waiting;
-            all_then.saturating_sub(told.own_then) + own
+        let counted = own + self.peers.requests(now);
+        let reported = self.fresh_report(now).map_or(0, |timed| {
+            let all_then = timed.report.running + timed.report.waiting;
+            all_then.saturating_sub(timed.own_at_report) + own
         });
-        heard.max(told)
+        counted.max(reported)
     }
 
-    /// Prompt tokens that it has yet to prefill, as far as known.
+    /// Estimated prompt tokens that are still to be prefilled.
     pub fn uncached_tokens(&self, now: Millis) -> u64 {
-        self.own_uncached.total() + self.others.uncached(now).total()
+        self.own_uncached.total() + self.peers.uncached(now).total()
     }
 
-    /// Of these, tokens that it prefills before a new request of this rank.
-    pub fn tokens_ahead_of(&self, rank: u8, now: Millis) -> u64 {
-        self.own_uncached.ahead_of(rank) + self.others.uncached(now).ahead_of(rank)
+    /// Of these, tokens that are prefilled before a new request of this engine priority.
+    pub fn tokens_ahead_of(&self, engine_priority: u8, now: Millis) -> u64 {
+        self.own_uncached.ahead_of(engine_priority)
+            + self.peers.uncached(now).ahead_of(engine_priority)
     }
 
-    /// Of these, what the leader told of other gateways.
-    pub(crate) fn others_ahead_of(&self, rank: u8, now: Millis) -> u64 {
-        self.others.uncached(now).ahead_of(rank)
+    /// Of these, tokens of peer gateways' requests, as the leader reported them.
+    pub(crate) fn peer_tokens_ahead_of(&self, engine_priority: u8, now: Millis) -> u64 {
+        self.peers.uncached(now).ahead_of(engine_priority)
     }
 
-    /// Time since the leader told of other gateways.
-    pub(crate) fn heard_ago(&self, now: Millis) -> Millis {
-        self.others.heard_ago(now)
+    /// Age of the leader's last report about peer gateways.
+    pub(crate) fn peer_load_age(&self, now: Millis) -> Millis {
+        self.peers.age(now)
     }
 
-    /// Tokens of KV cache that requests under way hold, as far as known.
+    /// Estimated tokens of KV cache that requests in flight hold.
     pub fn held_tokens(&self, now: Millis) -> u64 {
-        self.own_held_tokens + self.others.held_tokens(now)
+        self.own_held_tokens + self.peers.held_tokens(now)
     }
 
-    /// Own work under way at `backend`, to be told to the other gateways.
-    pub fn own(&self, backend: &BackendId) -> Option<Backlog> {
+    /// Own work in flight at `backend`, to be reported to peer gateways.
+    pub fn own_backlog(&self, backend: &BackendId) -> Option<Backlog> {
         let any = self.own.total() > 0 || self.own_uncached.total() > 0;
         any.then(|| Backlog {
             backend: backend.clone(),
@@ -92,60 +93,60 @@
         })
     }
 
-    /// Notes a request of a rank that is sent.
-    pub fn sent(&mut self, rank: u8, uncached_tokens: u64, prompt: Option<&Prompt>) {
-        self.own.add(rank, 1);
-        self.own_uncached.add(rank, uncached_tokens);
+    /// Adds a request that is sent with this engine priority.
+    pub fn sent(&mut self, engine_priority: u8, uncached_tokens: u64, prompt: Option<&Prompt>) {
+        self.own.add(engine_priority, 1);
+        self.own_uncached.add(engine_priority, uncached_tokens);
         self.own_held_tokens += prompt.map_or(0, Prompt::held_tokens);
         self.own_output_tokens += prompt.map_or(0, Prompt::likely_output);
     }
 
-    /// Notes that the prompt of a request was prefilled.
-    pub fn read(&mut self, rank: u8, uncached_tokens: u64) {
-        self.own_uncached.remove(rank, uncached_tokens);
+    /// Removes the uncached tokens of a request whose prompt was prefilled.
+    pub fn prefilled(&mut self, engine_priority: u8, uncached_tokens: u64) {
+        self.own_uncached.remove(engine_priority, uncached_tokens);
     }
 
-    /// Notes that a request is over.
-    pub fn ended(&mut self, rank: u8, prompt: Option<&Prompt>) {
+    /// Removes a request that ended.
+    pub fn ended(&mut self, engine_priority: u8, prompt: Option<&Prompt>) {
         let held = prompt.map_or(0, Prompt::held_tokens);
         let output = prompt.map_or(0, Prompt::likely_output);
-        self.own.remove(rank, 1);
+        self.own.remove(engine_priority, 1);
         self.own_held_tokens = self.own_held_tokens.saturating_sub(held);
         self.own_output_tokens = self.own_output_tokens.saturating_sub(output);
     }
 
-    /// Mean output of the own requests under way; long ones are under way for
-    /// longer, and count as often.
+    /// Mean output of own requests in flight. Long requests are in flight for longer and
+    /// are sampled more often.
     pub fn mean_output_tokens(&self) -> f64 {
         self.own_output_tokens as f64 / self.own.total().max(1) as f64
     }
 
-    /// Own requests under way, by rank.
-    pub fn own_by_rank(&self) -> PriorityCounts {
+    /// Own requests in flight, by engine priority.
+    pub fn own_by_priority(&self) -> PriorityCounts {
         self.own
     }
 
-    /// Takes a report.
+    /// Stores a report of the back end.
     pub fn note_report(&mut self, report: LoadReport, now: Millis) {
         self.last_report = Some(TimedReport {
             report,
             at: now,
-            own_then: self.own.total(),
+            own_at_report: self.own.total(),
         });
     }
 
-    /// What the other gateways have under way.
-    pub(crate) fn others_mut(&mut self) -> &mut Others {
-        &mut self.others
+    /// What peer gateways have in flight.
+    pub(crate) fn peers_mut(&mut self) -> &mut PeerLoad {
+        &mut self.peers
     }
 
-    /// Forgets what the back end told itself.
-    fn forget_told(&mut self) {
+    /// Forgets the last report of the back end.
+    fn forget_report(&mut self) {
         self.last_report = None;
     }
 
-    fn fresh(&self, now: Millis) -> Option<&TimedReport> {
-        let fresh = |told: &&TimedReport| now.since(told.at) <= REPORT_FRESH;
+    fn fresh_report(&self, now: Millis) -> Option<&TimedReport> {
+        let fresh = |timed: &&TimedReport| now.since(timed.at) <= REPORT_LIFETIME;
         self.last_report.as_ref().filter(fresh)
     }
 }
@@ -153,26 +154,27 @@
 /// One back end.
 #[derive(Debug, Clone)]
 pub struct Backend {
-    /// How it introduced itself.
+    /// Its registration.
     pub registration: BackendRegistration,
-    /// Which start of an engine it is, where that is told.
+    /// The engine's start (incarnation), if known.
     pub start: u64,
     /// Phases that an engine serves; `None` for an application.
     pub role: Option<EngineRole>,
     /// Whether the configuration lets it take new work.
     pub takes_work: bool,
-    /// Set when it told itself that it leaves or is not who it was.
+    /// Set when it reported that it leaves, or when another back end answered at its
+    /// address.
     pub gone: bool,
-    /// Its health, as own requests show it.
+    /// Its health, as seen by own requests.
     pub breaker: CircuitBreaker,
     /// Whether it takes requests, by its own reports.
     pub(crate) availability: Availability,
-    /// Since when the leader says that requests of several gateways fail there.
+    /// When the leader last reported that requests of several gateways fail there.
     pub(crate) failing_at: Option<Millis>,
-    /// Whether this gateway is the one to try a failing back end now.
+    /// Whether this gateway is the one that probes the back end while it fails.
     pub(crate) may_probe: bool,
-    /// Whether it has named a limit, so that the others need not be looked up: of
-    /// thousands of engines a few have one.
+    /// Whether it reported a rate limit. Spares looking up all others: of thousands of
+    /// engines a few have one.
     pub(crate) has_limit: bool,
     /// Connections that this gateway may have to it.
     pub(crate) connections: ConnectionShare,
@@ -181,7 +183,7 @@
 }
 
 impl Backend {
-    /// A back end of which only the record is known.
+    /// Creates a back end of which only the record is known.
     pub fn new(record: &BackendRecord) -> Self {
         let mut backend = Backend {
             registration: record.registration.clone(),
@@ -201,8 +203,9 @@
         backend
     }
 
-    /// Takes a newer record. `true` where it is of another start of the engine, which
-    /// holds and knows nothing of before; own requests under way end by themselves.
+    /// Applies a newer record. Returns `true` if it belongs to another start of the
+    /// engine, whose caches and state are empty; own requests in flight at the former
+    /// start end by themselves.
     pub fn update(&mut self, record: &BackendRecord) -> bool {
         self.registration = record.registration.clone();
         self.takes_work = record.takes_work();
@@ -210,23 +213,24 @@
             BackendKind::Application => None,
             BackendKind::Engine => record.assignment().map(|assignment| assignment.role),
         };
-        let told = record.start();
-        let before = std::mem::replace(&mut self.start, told);
-        let is_another = before != told && before != UNTOLD_START && told != UNTOLD_START;
-        if is_another {
+        let new_start = record.start();
+        let before = std::mem::replace(&mut self.start, new_start);
+        let has_restarted =
+            before != new_start && before != UNTOLD_START && new_start != UNTOLD_START;
+        if has_restarted {
             self.gone = false;
             self.breaker = CircuitBreaker::default();
             self.availability.reset();
             self.failing_at = None;
-            self.load.forget_told();
+            self.load.forget_report();
         }
-        is_another
+        has_restarted
     }
 
     /// Whether a new request may be sent to it.
-    pub fn is_open(&self, now: Millis, despite_failures: bool) -> bool {
+    pub fn is_open(&self, now: Millis, ignore_failures: bool) -> bool {
         let healthy = self.breaker.allows(now) && !self.is_failing(now);
-        self.is_in_service(now) && self.availability.allows(now) && (despite_failures || healthy)
+        self.is_in_service(now) && self.availability.allows(now) && (ignore_failures || healthy)
     }
 
     /// Whether it takes requests at all, now or after a backoff.
@@ -236,17 +240,17 @@
 
     /// Whether this gateway has a connection for one more request.
     pub(crate) fn has_connection(&self) -> bool {
-        self.load.own_by_rank().total() < self.connections.in_use
+        self.load.own_by_priority().total() < self.connections.in_use
     }
 
-    /// Whether it is an engine that generates.
+    /// Whether it is an engine that decodes.
     pub(crate) fn generates(&self) -> bool {
         self.role.is_some_and(EngineRole::generates)
     }
 
-    /// Whether the fleet takes it for failing, and others try it.
+    /// Whether the fleet reports it as failing and another gateway probes it.
     fn is_failing(&self, now: Millis) -> bool {
-        let holds = |at: Millis| now.since(at) <= FAILING_FOR;
-        !self.may_probe && self.failing_at.is_some_and(holds)
+        let is_recent = |at: Millis| now.since(at) <= FAILING_LIFETIME;
+        !self.may_probe && self.failing_at.is_some_and(is_recent)
     }
 }
--- a/components/forwarding/src/forwarder/admitting.rs
+++ b/components/forwarding/src/forwarder/admission.rs
@@ -1,4 +1,5 @@
-//! Predictions from what is believed, and what is learned for them.
+//! Admission of new requests: predicted times, and the observations that the predictions
+//! are learned from.
 
 use garnet_control::{LOWEST_PRIORITY, PriorityCounts};
 use garnet_types::{BackendId, Millis, ServiceId};
@@ -6,16 +7,16 @@
 use crate::admission::{Admission, Arrival, Prediction, admit};
 use crate::backends::Backend;
 use crate::pace::{PrefillPace, TokenTime};
-use crate::placement::{Placement, Preference};
+use crate::placement::{Placement, PlacementContext};
 use crate::work::{Prompt, Work};
 
 use super::{Forwarder, Learned};
 
 impl Forwarder {
-    /// Where a new request goes, and whether it is sent now. Where the owners
-    /// of its prefix have no time, any engine that has takes it, if beliefs are
-    /// fresh enough to tell: prefilling a prefix again costs less than a late
-    /// answer.
+    /// Chooses where a new request goes, and whether it is sent now. If the owners of its
+    /// prefix have no time, any engine that has time takes it, provided that the
+    /// estimates are fresh enough to tell: prefilling a prefix again costs less than a
+    /// late answer.
     pub fn place_new(
         &mut self,
         service: &ServiceId,
@@ -30,27 +31,28 @@
         if admission == Admission::Admit {
             return Some((placement, admission));
         }
-        let anywhere = Preference {
-            anywhere: true,
-            ..self.preference(&[], now)
+        let any_engine = PlacementContext {
+            any_engine: true,
+            ..self.context(&[], now)
         };
         if self.may_compare_all(service)
-            && let Some(other) = self.place_by(service, work, &anywhere)
+            && let Some(other) = self.place_with(service, work, &any_engine)
             && self.admission(service, work, &other, arrival, now) == Admission::Admit
         {
             return Some((other, Admission::Admit));
         }
         if let Admission::Refuse { retry_after, .. } = admission
-            && !arrival.came_back
+            && !arrival.is_retry
         {
             let learned = self.learned.entry(service.clone()).or_default();
-            learned.returns.told(now + retry_after, now);
+            learned.pending_retries.add(now + retry_after, now);
         }
         Some((placement, admission))
     }
 
-    /// The refusal of a new request that waits for a connection in vain: the engines have
-    /// no time for it. `None` where they have, or no engine takes it.
+    /// Returns the refusal of a new request for which waiting for a connection is
+    /// useless, since the engines have no time for it. `None` if they have, or if no
+    /// engine takes it.
     fn refuse_new(
         &self,
         service: &ServiceId,
@@ -58,11 +60,11 @@
         arrival: &Arrival,
         now: Millis,
     ) -> Option<(Placement, Admission)> {
-        let preference = Preference {
-            despite_connections: true,
-            ..self.preference(&[], now)
+        let context = PlacementContext {
+            ignore_connections: true,
+            ..self.context(&[], now)
         };
-        let placement = self.place_by(service, work, &preference)?;
+        let placement = self.place_with(service, work, &context)?;
         let admission = self.admission(service, work, &placement, arrival, now);
         matches!(admission, Admission::Refuse { .. }).then_some((placement, admission))
     }
@@ -98,53 +100,62 @@
             } => (prefill_engine, copy_from.as_ref()),
         };
         let uncached = self.uncached_tokens(engine, prompt, source, now);
-        let ahead = self.queued_tokens(engine, work.rank(uncached), now);
+        let ahead = self.queued_tokens(engine, work.engine_priority(uncached), now);
         let queued = self.queued_tokens(engine, LOWEST_PRIORITY, now);
         let pace = self.pace_of(engine);
-        let alone_ms = pace.expected_ms(uncached);
-        let place = self.place_queue(service, work.priority, placement, now);
-        // The other gateways told as many to come back, roughly.
+        let prefill_ms = pace.expected_ms(uncached);
+        let slot_estimate = self.slot_queue(service, work.priority, placement, now);
+        // The peer gateways have told about as many callers to retry.
         let learned = self.learned.get(service);
-        let told = learned.map_or(0, |learned| learned.returns.pending(now));
-        let returning = (told as u64 * self.gateways) as f64;
+        let pending_callers = learned.map_or(0, |learned| learned.pending_retries.pending(now));
+        let returning = (pending_callers as u64 * self.gateways) as f64;
         Prediction {
-            alone_ms,
-            ahead_ms: pace.expected_ms(ahead + uncached) - alone_ms,
-            all_queued_ms: pace.expected_ms(queued + uncached) - alone_ms,
-            place_ms: place.wait_ms(),
-            returns_ms: place.leave_every_ms * returning / place.engines.max(1) as f64,
+            prefill_ms,
+            ahead_ms: pace.expected_ms(ahead + uncached) - prefill_ms,
+            all_queued_ms: pace.expected_ms(queued + uncached) - prefill_ms,
+            slot_ms: slot_estimate.wait_ms(),
+            retries_ms: slot_estimate.release_interval_ms * returning
+                / slot_estimate.engines.max(1) as f64,
         }
     }
 
-    /// Prompt tokens that the engine prefills before a new request of this rank.
-    pub(super) fn queued_tokens(&self, engine: &BackendId, rank: u8, now: Millis) -> u64 {
+    /// Prompt tokens that the engine prefills before a new request of this engine
+    /// priority.
+    pub(super) fn queued_tokens(
+        &self,
+        engine: &BackendId,
+        engine_priority: u8,
+        now: Millis,
+    ) -> u64 {
         let backend = self.backends.get(engine);
-        backend.map_or(0, |backend| backend.load.tokens_ahead_of(rank, now))
+        backend.map_or(0, |backend| {
+            backend.load.tokens_ahead_of(engine_priority, now)
+        })
     }
 
-    /// Waiting for a place to generate.
-    fn place_queue(
+    /// Predicts the wait for a decode slot.
+    fn slot_queue(
         &self,
         service: &ServiceId,
-        rank: u8,
+        route_priority: u8,
         placement: &Placement,
         now: Millis,
-    ) -> PlaceQueue {
+    ) -> SlotQueue {
         let table = self.configuration.routes.as_ref();
         let Some(limits) = table.and_then(|table| table.engine_limits(service)) else {
-            return PlaceQueue::default();
+            return SlotQueue::default();
         };
         let learned = self.learned.get(service);
         let token_time = learned.map_or(TokenTime::default(), |learned| learned.token_time);
-        let before = self.part_before(service, rank);
+        let share_ahead = self.fraction_ahead(service, route_priority);
         let queue = |backend: &Backend| {
             let requests = backend.load.requests(now);
-            let places = limits.places(requests, backend.load.held_tokens(now));
-            let beyond = requests as f64 * before + 1.0 - places;
+            let slots = limits.places(requests, backend.load.held_tokens(now));
+            let excess = requests as f64 * share_ahead + 1.0 - slots;
             let mean_output = backend.load.mean_output_tokens();
-            PlaceQueue {
-                beyond: beyond.max(0.0),
-                leave_every_ms: token_time.expected_ms(mean_output) / places.max(1.0),
+            SlotQueue {
+                excess: excess.max(0.0),
+                release_interval_ms: token_time.expected_ms(mean_output) / slots.max(1.0),
                 engines: 1,
             }
         };
@@ -152,35 +163,35 @@
             return self.backends.get(engine).map(queue).unwrap_or_default();
         }
         let decode_engines = self.decode_engines_of(service);
-        // What a limit leaves to others is no place to wait for.
+        // An engine whose rate limit leaves it to peer gateways has no slot to wait for.
         let may_send = |backend: &&Backend| {
             !backend.has_limit || self.limits.may_send(&backend.registration.id, now)
         };
         let open = decode_engines.filter(|backend| backend.is_open(now, false));
         let open = open.filter(may_send);
-        let queues: Vec<PlaceQueue> = open.map(queue).collect();
+        let queues: Vec<SlotQueue> = open.map(queue).collect();
         let shortest = queues
             .iter()
             .min_by(|left, right| left.wait_ms().total_cmp(&right.wait_ms()));
-        shortest.map_or(PlaceQueue::default(), |shortest| PlaceQueue {
+        shortest.map_or(SlotQueue::default(), |shortest| SlotQueue {
             engines: queues.len(),
             ..*shortest
         })
     }
 
-    /// Part of the requests that generate which come before a new one of this
-    /// rank; own requests are taken for like all others.
-    fn part_before(&self, service: &ServiceId, rank: u8) -> f64 {
+    /// Fraction of the decoding requests that come before a new one of this priority. Own
+    /// requests are taken as a sample of all.
+    fn fraction_ahead(&self, service: &ServiceId, route_priority: u8) -> f64 {
         let mut own = PriorityCounts::default();
         let with_work = self.with_own_work.iter();
         let with_work = with_work.filter_map(|id| self.backends.get(id));
         let of_service = with_work.filter(|backend| backend.registration.service == *service);
         for backend in of_service.filter(|backend| backend.generates()) {
-            own += backend.load.own_by_rank();
+            own += backend.load.own_by_priority();
         }
         match own.total() {
             0 => 1.0,
-            total => own.ahead_of(rank) as f64 / total as f64,
+            total => own.ahead_of(route_priority) as f64 / total as f64,
         }
     }
 
@@ -189,21 +200,20 @@
             .filter(|backend| backend.generates())
     }
 
-    /// Longest time that a prefill engine should take for a prompt of which it has
-    /// `uncached` tokens to read, with what is queued there. `None` for what is
-    /// read last: it waits for all that come after it, so its engine's silence
-    /// tells nothing.
+    /// Longest time that a prefill engine should take for a prompt with `uncached`
+    /// tokens, including what is queued there. `None` for the lowest priority: such a
+    /// prompt waits for all that arrive later, so the engine's silence tells nothing.
     pub fn prefill_timeout(
         &self,
         id: &BackendId,
         uncached: u64,
-        rank: u8,
+        engine_priority: u8,
         now: Millis,
     ) -> Option<Millis> {
-        if rank >= LOWEST_PRIORITY {
+        if engine_priority >= LOWEST_PRIORITY {
             return None;
         }
-        let queued = self.queued_tokens(id, rank, now);
+        let queued = self.queued_tokens(id, engine_priority, now);
         Some(self.pace_of(id).time_limit(queued.max(uncached)))
     }
 
@@ -219,41 +229,41 @@
         learned.map_or(PrefillPace::default(), |learned| learned.prefill)
     }
 
-    /// Notes how long the prefill of a prompt took, of which `tokens` were to
-    /// be read with all that was queued before.
+    /// Records how long the prefill of a prompt took, with `tokens` to prefill until its
+    /// end, those queued before it included.
     pub fn note_prefill(&mut self, id: &BackendId, tokens: u64, took: Millis) {
-        if let Some(learned) = self.learned_at(id) {
+        if let Some(learned) = self.learned_of(id) {
             learned.prefill.note(tokens, took);
         }
     }
 
-    /// Notes how long a request kept its place at an engine that generates.
-    pub fn note_place(&mut self, id: &BackendId, prompt: &Prompt, kept: Millis) {
-        if let Some(learned) = self.learned_at(id) {
+    /// Records how long a request held its decode slot.
+    pub fn note_slot_time(&mut self, id: &BackendId, prompt: &Prompt, kept: Millis) {
+        if let Some(learned) = self.learned_of(id) {
             learned.token_time.note(prompt.likely_output(), kept);
         }
     }
 
     /// What was learned of the service of a back end.
-    fn learned_at(&mut self, id: &BackendId) -> Option<&mut Learned> {
+    fn learned_of(&mut self, id: &BackendId) -> Option<&mut Learned> {
         let service = self.backends.get(id)?.registration.service.clone();
         Some(self.learned.entry(service).or_default())
     }
 }
 
-/// Requests that wait for a place at the engine where they wait least.
+/// Queue for a decode slot at the engine with the shortest wait.
 #[derive(Debug, Clone, Copy, Default)]
-struct PlaceQueue {
-    /// Requests more than places.
-    beyond: f64,
-    /// A place becomes free so often there.
-    leave_every_ms: f64,
-    /// Engines with such queues.
+struct SlotQueue {
+    /// Requests in excess of the slots.
+    excess: f64,
+    /// Mean interval at which a slot is released.
+    release_interval_ms: f64,
+    /// Number of engines with such queues.
     engines: usize,
 }
 
-impl PlaceQueue {
+impl SlotQueue {
     fn wait_ms(&self) -> f64 {
-        self.beyond * self.leave_every_ms
+        self.excess * self.release_interval_ms
     }
 }
--- a/components/forwarding/src/forwarder/configuration.rs
+++ b/components/forwarding/src/forwarder/configuration.rs
@@ -1,4 +1,4 @@
-//! The configuration in force at a gateway. It never goes back.
+//! The configuration in force at a gateway. It never reverts to an older one.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -9,55 +9,59 @@
 use garnet_routes::{CallerLimits, RouteIndex};
 use garnet_types::{BackendId, EncodingVersion, Millis};
 
+use crate::backend_groups::group_key;
 use crate::backends::Backend;
-use crate::likes::likes;
 
 use super::Forwarder;
 
-/// An unconfirmed configuration is given up when no leader has confirmed it for
-/// so long.
-const LONGEST_UNCONFIRMED: Millis = Millis::from_secs(10);
+/// An unconfirmed configuration is dropped if no leader has confirmed it within this
+/// time.
+const MAX_UNCONFIRMED_AGE: Millis = Millis::from_secs(10);
 
 impl Forwarder {
-    /// Notes that the leader has the whole configuration in parts, as it stood at
-    /// this index. Gives the part to ask for, where none is under way.
-    pub fn offered_parts(&mut self, index: u64, now: Millis) -> Option<PartRequest> {
+    /// Handles the leader's offer to send the full configuration of this index in parts.
+    /// Returns the part to request, if none is in flight.
+    pub fn on_parts_offered(&mut self, index: u64, now: Millis) -> Option<PartRequest> {
         self.loader.on_offer(index, now)
     }
 
-    /// Takes a part of the whole configuration. Gives the next one to ask for.
-    pub fn take_part(&mut self, part: ConfigurationPart, now: Millis) -> Option<PartRequest> {
+    /// Takes a part of the full configuration. Returns the next part to request.
+    pub fn take_configuration_part(
+        &mut self,
+        part: ConfigurationPart,
+        now: Millis,
+    ) -> Option<PartRequest> {
         match self.loader.take(part, now) {
             PartOutcome::Next(next) => return Some(next),
-            PartOutcome::Complete(whole) => self.take_whole(whole),
+            PartOutcome::Complete(full) => self.take_full_configuration(full),
             PartOutcome::Ignored => {}
         }
         None
     }
 
-    /// Notes that the connection to the leader is another one, of this version.
+    /// Records that a new connection to the leader, of this version, was opened.
     pub fn connected(&mut self, version: EncodingVersion) {
         self.loader.on_connected();
-        self.tell_runs_anew();
+        self.resend_runs();
         self.limits.connected();
-        self.set_permits_given(version >= EncodingVersion::V16);
+        self.set_permits_granted(version >= EncodingVersion::V16);
     }
 
-    /// Takes what the leader says is new. An older configuration than the one
-    /// in force is left aside, so nothing reverts.
+    /// Applies an update of the leader. A configuration older than the one in force is
+    /// ignored, so that nothing reverts.
     pub fn update(&mut self, update: WatchUpdate) {
         match update {
             WatchUpdate::UnderWay | WatchUpdate::Parts { .. } => {}
             WatchUpdate::Current => self.unconfirmed_since = None,
-            WatchUpdate::Snapshot(whole) => self.take_whole(whole.into_inner()),
+            WatchUpdate::Snapshot(full) => self.take_full_configuration(full.into_inner()),
             WatchUpdate::Changes { from, to, changes } => self.take_changes(from, to, &changes),
         }
     }
 
-    fn take_whole(&mut self, whole: Configuration) {
+    fn take_full_configuration(&mut self, full: Configuration) {
         self.unconfirmed_since = None;
-        if whole.index >= self.configuration.index {
-            self.configuration = whole;
+        if full.index >= self.configuration.index {
+            self.configuration = full;
             self.apply_configuration();
         }
     }
@@ -77,10 +81,10 @@
         self.apply_backends(&changed);
     }
 
-    /// Takes what a replica knew last while there is no leader, where nothing
-    /// is known here: a gateway that has just started need not wait for the
-    /// group. Until a leader confirms it, unknown routes are not denied and
-    /// the budgets' fixed part is left alone.
+    /// Takes the last configuration of a replica while there is no leader, if none is
+    /// known here: a gateway that has just started need not wait for a leader. Until a
+    /// leader confirms it, unknown routes are not denied, and the fixed number of the
+    /// retry budgets is not used.
     pub fn take_unconfirmed(&mut self, configuration: Arc<Configuration>, now: Millis) {
         if self.configuration.index == 0 {
             self.unconfirmed_since = Some(now);
@@ -89,9 +93,9 @@
         }
     }
 
-    /// Forgets an unconfirmed configuration that has grown too old.
+    /// Drops an unconfirmed configuration that is too old.
     pub fn forget_unconfirmed(&mut self, now: Millis) {
-        let is_old = |since| now.since(since) > LONGEST_UNCONFIRMED;
+        let is_old = |since| now.since(since) > MAX_UNCONFIRMED_AGE;
         if self.unconfirmed_since.is_some_and(is_old) {
             self.unconfirmed_since = None;
             self.configuration = Configuration::default();
@@ -106,12 +110,12 @@
         self.configuration.index > 0 && self.unconfirmed_since.is_none()
     }
 
-    /// Notes how many gateways share the budgets.
+    /// Sets the number of gateways that share the retry budgets.
     pub fn set_gateways(&mut self, gateways: u64) {
         self.gateways = gateways.max(1);
     }
 
-    /// Gateways that share the budgets, as far as known.
+    /// The last known number of gateways that share the retry budgets.
     pub fn gateways(&self) -> u64 {
         self.gateways
     }
@@ -126,7 +130,7 @@
         Some(self.configuration.routes.as_ref()?.version)
     }
 
-    /// Bounds on callers.
+    /// Limits on callers.
     pub fn limits(&self) -> CallerLimits {
         self.routes.table().limits
     }
@@ -139,7 +143,7 @@
         self.apply_backends(&Vec::from_iter(all));
     }
 
-    /// Follows everything but the back ends.
+    /// Applies everything but the back ends.
     fn apply_rest(&mut self) {
         if let Some(table) = &self.configuration.routes
             && table.version != self.routes.table().version
@@ -148,26 +152,26 @@
             self.share_connections();
         }
         let quarantined = self.configuration.quarantine.keys().copied();
-        self.crash_log.follow(quarantined);
+        self.crash_log.update_quarantined(quarantined);
     }
 
-    /// Follows these back ends; all others are as they were.
+    /// Applies the records of these back ends; all others are unchanged.
     fn apply_backends(&mut self, changed: &[BackendId]) {
         let mut members_changed = false;
         for id in changed {
-            self.records_followed += 1;
+            self.records_applied += 1;
             let record = self.configuration.backends.get(id);
             match (record, self.backends.get_mut(id)) {
                 (Some(record), Some(backend)) => {
-                    let did = likes(backend);
+                    let old_key = group_key(backend);
                     if backend.update(record) {
                         self.residency.remove(id);
                         self.limits.forget(id);
                         backend.has_limit = false;
                     }
-                    self.likes.follow_change(&did, backend);
+                    self.groups.update_group(&old_key, backend);
                     if let Some(residency) = self.residency.get_mut(id) {
-                        residency.share_lifetime(self.likes.cache_lifetime(backend));
+                        residency.share_lifetime(self.groups.cache_lifetime(backend));
                     }
                 }
                 (Some(record), None) => {
@@ -186,13 +190,13 @@
             }
         }
         if members_changed {
-            self.likes.follow_members(&mut self.backends);
+            self.groups.update_members(&mut self.backends);
         }
     }
 
-    /// Records of back ends that were followed so far: what changes of the
-    /// configuration cost.
-    pub fn records_followed(&self) -> u64 {
-        self.records_followed
+    /// Number of back-end records applied so far, a measure of the cost of configuration
+    /// changes.
+    pub fn records_applied(&self) -> u64 {
+        self.records_applied
     }
 }
--- a/components/forwarding/src/residency.rs
+++ b/components/forwarding/src/residency.rs
@@ -1,4 +1,4 @@
-//! Which prompt prefixes an engine holds, as far as this gateway knows.
+//! Estimates which prompt prefixes an engine holds.
 
 use std::cell::Cell;
 use std::collections::HashMap;
@@ -6,89 +6,91 @@
 
 use garnet_types::{Millis, PrefixId};
 
-use crate::work::{Prefix, Prompt, WORTHLESS_SHARED};
+use crate::work::{MAX_IGNORED_PREFIX_TOKENS, Prefix, Prompt};
 
-/// Beginnings that are remembered of one engine; the oldest go first.
-const MOST_PREFIXES: usize = 512;
-/// A prefix that was not used for so long may have given way.
-const BELIEVED_FOR: Millis = Millis::from_secs(30);
-/// A prefix that was not used for so long is not worth asking for a copy.
-const COPYABLE_FOR: Millis = Millis::from_secs(10);
-/// The other gateways are told again of a prefix after so long.
-const TOLD_FOR: Millis = Millis::from_secs(5);
+/// Maximum number of prefixes that are tracked per engine; the least recently used are
+/// dropped.
+const MAX_PREFIXES: usize = 512;
+/// A prefix that was unused for longer may have been evicted.
+const RESIDENT_LIFETIME: Millis = Millis::from_secs(30);
+/// A prefix that was unused for longer is not worth requesting a copy.
+const COPYABLE_LIFETIME: Millis = Millis::from_secs(10);
+/// A prefix is reported to peer gateways again after this time.
+const PUBLISH_INTERVAL: Millis = Millis::from_secs(5);
 
-/// What is believed of one prefix.
+/// Estimated state of one prefix.
 #[derive(Debug, Clone, Copy)]
-struct Belief {
+struct PrefixState {
     used_at: Millis,
-    /// Whether it was prefilled to its end; until then it can't be copied.
-    is_read: bool,
-    /// When a gateway told the others, this one or another.
-    told_at: Option<Millis>,
+    /// Whether it was prefilled to its end; it can't be copied before.
+    is_prefilled: bool,
+    /// When this gateway or a peer last reported the prefix to all gateways.
+    published_at: Option<Millis>,
 }
 
-/// Beliefs about the prefix cache of one engine.
+/// Estimated content of the prefix cache of one engine.
 #[derive(Debug, Clone, Default)]
 pub struct Residency {
-    beliefs: HashMap<PrefixId, Belief>,
-    /// How long engines like this one keep what nobody uses, where that is known.
+    states: HashMap<PrefixId, PrefixState>,
+    /// How long engines of the same group keep an unused prefix, if known.
     lifetime: Rc<Cell<Option<Millis>>>,
 }
 
 impl Residency {
-    /// Notes that the engine is sent the prompt.
+    /// Records that the prompt is sent to the engine.
     pub fn note_sent(&mut self, prompt: &Prompt, now: Millis) {
         for prefix in prompt.prefixes() {
             self.note(prefix.id, now);
         }
-        self.forget_old(now);
+        self.evict_old(now);
     }
 
-    /// Notes that the engine holds the whole prompt now. Gives the shared
-    /// prefixes that the other gateways should hear of.
-    pub fn note_read(&mut self, prompt: &Prompt, now: Millis) -> Vec<PrefixId> {
+    /// Records that the engine holds the whole prompt now. Returns the shared prefixes to
+    /// report to peer gateways.
+    pub fn note_prefilled(&mut self, prompt: &Prompt, now: Millis) -> Vec<PrefixId> {
         let prefixes = prompt.prefixes();
         let shared = prefixes.len().saturating_sub(1);
-        let mut news = Vec::new();
-        for (place, prefix) in prefixes.into_iter().enumerate() {
-            let belief = self.note(prefix.id, now);
-            belief.is_read = true;
-            let known = belief.told_at.is_some_and(|at| now.since(at) <= TOLD_FOR);
-            let is_worth_it = prefix.tokens > WORTHLESS_SHARED;
-            if place < shared && is_worth_it && !known {
-                belief.told_at = Some(now);
-                news.push(prefix.id);
+        let mut to_publish = Vec::new();
+        for (position, prefix) in prefixes.into_iter().enumerate() {
+            let state = self.note(prefix.id, now);
+            state.is_prefilled = true;
+            let is_published = state
+                .published_at
+                .is_some_and(|at| now.since(at) <= PUBLISH_INTERVAL);
+            let is_long_enough = prefix.tokens > MAX_IGNORED_PREFIX_TOKENS;
+            if position < shared && is_long_enough && !is_published {
+                state.published_at = Some(now);
+                to_publish.push(prefix.id);
             }
         }
-        self.forget_old(now);
-        news
+        self.evict_old(now);
+        to_publish
     }
 
-    /// Notes what another gateway told.
-    pub fn note_told(&mut self, prefix: PrefixId, now: Millis) {
-        let belief = self.note(prefix, now);
-        belief.is_read = true;
-        belief.told_at = Some(now);
-        self.forget_old(now);
+    /// Records that a peer gateway reported the prefix.
+    pub fn note_reported(&mut self, prefix: PrefixId, now: Millis) {
+        let state = self.note(prefix, now);
+        state.is_prefilled = true;
+        state.published_at = Some(now);
+        self.evict_old(now);
     }
 
-    /// Tokens of the prompt with these prefixes that the engine is believed to
-    /// hold, or to have read before this prompt's turn comes.
+    /// Prompt tokens that the engine probably holds, or will have prefilled before this
+    /// prompt.
     pub fn held_tokens(&self, prefixes: &[Prefix], now: Millis) -> u64 {
-        let limit = self.at_most(BELIEVED_FOR);
-        self.tokens(prefixes, |belief| now.since(belief.used_at) <= limit)
+        let limit = self.bounded_by_lifetime(RESIDENT_LIFETIME);
+        self.tokens(prefixes, |state| now.since(state.used_at) <= limit)
     }
 
-    /// Tokens of the prompt with these prefixes that can be copied from the
-    /// engine.
+    /// Prompt tokens that can be copied from the engine.
     pub fn copyable_tokens(&self, prefixes: &[Prefix], now: Millis) -> u64 {
-        let limit = self.at_most(COPYABLE_FOR);
-        self.tokens(prefixes, |belief| {
-            belief.is_read && now.since(belief.used_at) < limit
+        let limit = self.bounded_by_lifetime(COPYABLE_LIFETIME);
+        self.tokens(prefixes, |state| {
+            state.is_prefilled && now.since(state.used_at) < limit
         })
     }
 
-    /// Nothing is known of what the engine holds; `lifetime` is shared with its like.
+    /// Creates an empty estimate; `lifetime` is shared by the engine's group.
     pub(crate) fn with_lifetime(lifetime: Rc<Cell<Option<Millis>>>) -> Self {
         Residency {
             lifetime,
@@ -96,41 +98,41 @@
         }
     }
 
-    /// The engine's work is that of others now.
+    /// Uses the `lifetime` of another group, after the engine's role changed.
     pub(crate) fn share_lifetime(&mut self, lifetime: Rc<Cell<Option<Millis>>>) {
         self.lifetime = lifetime;
     }
 
-    fn at_most(&self, limit: Millis) -> Millis {
+    fn bounded_by_lifetime(&self, limit: Millis) -> Millis {
         self.lifetime
             .get()
             .map_or(limit, |lifetime| lifetime.min(limit))
     }
 
-    fn tokens(&self, prefixes: &[Prefix], counts: impl Fn(&Belief) -> bool) -> u64 {
-        let believed = |prefix: &&Prefix| self.beliefs.get(&prefix.id).is_some_and(&counts);
-        let held = prefixes.iter().take_while(believed);
+    fn tokens(&self, prefixes: &[Prefix], counts: impl Fn(&PrefixState) -> bool) -> u64 {
+        let is_held = |prefix: &&Prefix| self.states.get(&prefix.id).is_some_and(&counts);
+        let held = prefixes.iter().take_while(is_held);
         held.last().map_or(0, |prefix| prefix.tokens)
     }
 
-    fn note(&mut self, prefix: PrefixId, now: Millis) -> &mut Belief {
-        let belief = self.beliefs.entry(prefix).or_insert(Belief {
+    fn note(&mut self, prefix: PrefixId, now: Millis) -> &mut PrefixState {
+        let state = self.states.entry(prefix).or_insert(PrefixState {
             used_at: now,
-            is_read: false,
-            told_at: None,
+            is_prefilled: false,
+            published_at: None,
         });
-        belief.used_at = now;
-        belief
+        state.used_at = now;
+        state
     }
 
-    fn forget_old(&mut self, now: Millis) {
-        if self.beliefs.len() <= MOST_PREFIXES {
+    fn evict_old(&mut self, now: Millis) {
+        if self.states.len() <= MAX_PREFIXES {
             return;
         }
-        let age = |belief: &Belief| now.since(belief.used_at);
-        let mut ages: Vec<Millis> = self.beliefs.values().map(age).collect();
+        let age = |state: &PrefixState| now.since(state.used_at);
+        let mut ages: Vec<Millis> = self.states.values().map(age).collect();
         ages.sort_unstable();
-        let limit = ages[MOST_PREFIXES / 2];
-        self.beliefs.retain(|_, belief| age(belief) <= limit);
+        let limit = ages[MAX_PREFIXES / 2];
+        self.states.retain(|_, state| age(state) <= limit);
     }
 }
--- a/components/forwarding/tests/core/availability.rs
+++ b/components/forwarding/tests/core/availability.rs
@@ -4,7 +4,7 @@
 use garnet_forwarding::{
     Admission, Arrival, Forwarder, Placement, Probe, ReportedLimit, RetryAfter, Work,
 };
-use garnet_limits::Asking;
+use garnet_limits::PermitLookup;
 use garnet_routes::WorkKind;
 use garnet_types::{EngineRole, Millis, ServiceId};
 use rstest::rstest;
@@ -238,9 +238,9 @@
     let rate = "5".parse().expect("a rate");
     gateway.note_limit(&id("till-a"), ReportedLimit::Limited(rate), NOW, NOW);
     let ask = |gateway: &mut Forwarder| gateway.ask_for_permit(&till(), &call(), &[], NOW);
-    assert!(matches!(ask(&mut gateway), Asking::Ask(_)));
+    assert!(matches!(ask(&mut gateway), PermitLookup::AskLeader(_)));
     gateway.note_backoff(&id("till-a"), BACKOFF, NOW);
-    assert_eq!(ask(&mut gateway), Asking::Unlimited);
+    assert_eq!(ask(&mut gateway), PermitLookup::Unlimited);
     assert!(gateway.all_in_backoff(&till(), &call(), NOW).is_some());
 }
 
@@ -255,15 +255,15 @@
         }
         let underway = prompt(1, 1_001, 20_000);
         for _ in 0..200 {
-            gateway.handed_over(&id("d-1"), &underway, 1, NOW);
+            gateway.sent_for_decode(&id("d-1"), &underway, 1, NOW);
             // Each place is kept for a second.
-            gateway.note_place(&id("d-1"), &underway, Millis(1_000));
+            gateway.note_slot_time(&id("d-1"), &underway, Millis(1_000));
         }
         let arrival = Arrival {
             waited: Millis::ZERO,
             remaining: Millis(2_000),
             deadline: Millis(2_000),
-            came_back: false,
+            is_retry: false,
         };
         let placed = gateway.place_new(&words(), &stream(2), &arrival, NOW);
         placed.map(|(_, admission)| admission)
