--- a/components/control/src/balancing.rs
+++ b/components/control/src/balancing.rs
@@ -508,14 +508,14 @@
     let mut prefilling = 0;
     let mut decoding = 0;
     let mut decode = 0.0;
-    let mut busy_places = 0.0;
+    let mut busy_slots = 0.0;
     for Busy { role, backlog } in busy {
         if *role == EngineRole::Prefill {
             prefilling += usize::from(backlog.uncached.total() > 0);
         } else {
             decoding += 1;
             decode += occupied(backlog, limits);
-            busy_places += limits.places(backlog.requests, backlog.held_tokens);
+            busy_slots += limits.places(backlog.requests, backlog.held_tokens);
         }
     }
     let idle = roles.decode.saturating_sub(decoding);
@@ -524,7 +524,7 @@
         decode_engines: roles.decode,
         prefill: prefilling as f64 / roles.prefill.max(1) as f64,
         decode: decode / roles.decode.max(1) as f64,
-        decode_slots: busy_places + (idle as u64 * limits.slots) as f64,
+        decode_slots: busy_slots + (idle as u64 * limits.slots) as f64,
     }
 }
 
