--- a/components/forwarding/src/forwarder/mod.rs
+++ b/components/forwarding/src/forwarder/mod.rs
@@ -101,7 +101,8 @@
     /// Limits of back ends, and permits for them.
     limits: GatewayLimits,
     permits_are_granted: bool,
-    /// Requests so far; tells which of them ask for a spare permit.
+    /// Number of requests so far; one in as many as there are gateways asks for a spare
+    /// permit.
     arrival_count: u64,
     /// Makes the draws of this gateway differ from those of its peers.
     seed: u64,
--- a/components/forwarding/tests/core/configuration.rs
+++ b/components/forwarding/tests/core/configuration.rs
@@ -146,7 +146,7 @@
 }
 
 /// A restarted engine under the same id has an empty cache and is not leaving, and the
-/// failures of its former start don't count against it.
+/// failures of its previous start don't count against it.
 #[test]
 fn a_restarted_engine_has_no_earlier_state() {
     let mut engine = record("i-1", "words", "a", Some(EngineRole::Prefill));
--- a/components/forwarding/tests/core/limits.rs
+++ b/components/forwarding/tests/core/limits.rs
@@ -245,7 +245,7 @@
     assert!(gateway.may_send(&id("till-a"), NOW) && !gateway.may_send(&id("till-b"), NOW));
 }
 
-/// The empty list of a new leader, which knows no limits, ends none; the limits are
+/// The empty list of a new leader, which has none on record, ends none; the limits are
 /// reported to it.
 #[test]
 fn limits_are_reported_again_to_a_new_leader() {
--- a/components/quarantine/tests/crashes/log.rs
+++ b/components/quarantine/tests/crashes/log.rs
@@ -27,9 +27,9 @@
     );
 }
 
-/// If another request was running during all three crashes, the gateway can't tell which one is the cause and
-/// leaves the decision to the leader, which has the reports of all gateways. A fourth crash
-/// suffices without the leader.
+/// If another request was running during all three crashes, the gateway can't tell which one is the
+/// cause and leaves the decision to the leader, which has the reports of all gateways. A fourth
+/// crash suffices without the leader.
 #[test]
 fn the_leader_decides_between_requests_at_the_same_crashes() {
     let mut log = with_crashes(3);
