--- a/bin/garnet-control/src/machines.rs
+++ b/bin/garnet-control/src/machines.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use garnet_control::MachineEntry;
-use garnet_control_shell::{DirectoryError, DirectoryPort, Listing};
+use garnet_control_shell::{DirectoryError, DirectoryPort, ListedMachines};
 use garnet_engine_api::paths;
 use garnet_runtime::{HttpClient, client};
 
@@ -24,13 +24,13 @@
 }
 
 impl DirectoryPort for MachineList {
-    async fn read(&self) -> Result<Listing, DirectoryError> {
+    async fn read(&self) -> Result<ListedMachines, DirectoryError> {
         let request = client::get_request(paths::MACHINES);
         let unreachable = || DirectoryError::Unreachable(self.address.clone());
         let machines: Option<Vec<MachineEntry>> = fetch(&self.http, &self.address, request).await;
-        Ok(Listing {
+        Ok(ListedMachines {
             machines: machines.ok_or_else(unreachable)?,
-            left_aside: Vec::new(),
+            skipped_entries: Vec::new(),
         })
     }
 
--- a/bin/garnet-control/src/start.rs
+++ b/bin/garnet-control/src/start.rs
@@ -6,7 +6,7 @@
 use garnet_consensus::Config;
 use garnet_control::ReplicaSettings;
 use garnet_control_shell::{
-    ControlShell, FirstGroup, NoDuties, OpenSettings, Ports, hand_over, open,
+    ControlShell, InitialGroup, NoDuties, OpenSettings, Ports, open, transfer_leadership,
 };
 use garnet_runtime::server::bind_listener;
 use garnet_runtime::{HttpClient, Shell, bind};
@@ -47,7 +47,7 @@
     children.push(shell.http_child(admin_server, move |request| {
         admin::handle(admin.clone(), request)
     }));
-    let drain = hand_over(connections);
+    let drain = transfer_leadership(connections);
     shell.run(children, drain)
 }
 
@@ -61,7 +61,7 @@
         name: settings.name.clone(),
         data: settings.data.clone(),
         initial_id: settings.initial_id.filter(|_| bootstrap),
-        first_group: FirstGroup::Named(settings.members.clone()),
+        initial_group: InitialGroup::WithIds(settings.members.clone()),
         replica,
     }
 }
--- a/components/control-shell/src/connections.rs
+++ b/components/control-shell/src/connections.rs
@@ -10,7 +10,7 @@
 use garnet_runtime::frames::{self, FrameReader, FrameWriter};
 use garnet_supervisor::{ChildError, ChildSpec, Restart, StopSignal};
 use garnet_types::{EncodingVersion, ReplicaId};
-use garnet_wire::{Accepted, Frame, Sender as FrameSender, WireError};
+use garnet_wire::{AcceptedHello, Frame, Sender as FrameSender, WireError};
 use smol::channel::{Receiver, Sender, bounded, unbounded};
 use smol::net::{TcpListener, TcpStream};
 use smol::{LocalExecutor, Timer};
@@ -163,7 +163,7 @@
 
     async fn serve_accepted(
         &self,
-        accepted: Accepted,
+        accepted: AcceptedHello,
         reader: FrameReader,
         mut writer: FrameWriter,
     ) -> Result<(), WireError> {
--- a/components/control-shell/src/opening.rs
+++ b/components/control-shell/src/data_folder.rs
@@ -14,7 +14,7 @@
 use garnet_types::{EncodingVersion, ReplicaId};
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::disk_room::wait_for_room;
+use crate::disk_space::wait_for_space;
 use crate::joining::MemberAddress;
 
 /// The group that a replica was born into, kept for later starts.
@@ -24,12 +24,12 @@
 
 /// The group at its very first start.
 #[derive(Debug, Clone)]
-pub enum FirstGroup {
+pub enum InitialGroup {
     /// Members with the identities that the settings give them.
-    Named(Membership),
+    WithIds(Membership),
     /// Members whose identities follow from their addresses. It is kept on
     /// disk, since the settings name other addresses later.
-    Addressed(Vec<MemberAddress>),
+    ByAddress(Vec<MemberAddress>),
 }
 
 /// What opening needs.
@@ -42,13 +42,13 @@
     /// Identity at the first start of the group, if it has one from then.
     pub initial_id: Option<ReplicaId>,
     /// The group at its first start.
-    pub first_group: FirstGroup,
+    pub initial_group: InitialGroup,
     /// Settings of the replica; its identity and seed are filled in.
     pub replica: ReplicaSettings,
 }
 
 /// What was opened.
-pub struct Opened {
+pub struct OpenedReplica {
     /// The identity of the disk.
     pub id: ReplicaId,
     pub(crate) replica: Replica,
@@ -57,7 +57,7 @@
 }
 
 /// Identity of a first member that is known by its address only.
-pub fn identity_of(address: &MemberAddress) -> ReplicaId {
+pub fn replica_id_for(address: &MemberAddress) -> ReplicaId {
     ReplicaId(xxh3_64(address.peer.as_bytes()))
 }
 
@@ -71,14 +71,14 @@
     settings: &OpenSettings,
     clock: Clock,
     stop_requested: impl Fn() -> bool,
-) -> io::Result<Option<Opened>> {
+) -> io::Result<Option<OpenedReplica>> {
     let open_disk = || {
         if stop_requested() {
             return Ok(None);
         }
         DiskDirectory::open(&settings.data).map(Some)
     };
-    let opened = wait_for_room(open_disk, || thread::sleep(LOOK_FOR_ROOM));
+    let opened = wait_for_space(open_disk, || thread::sleep(LOOK_FOR_ROOM));
     let opened = opened.map_err(|error| {
         let folder = settings.data.display();
         io::Error::new(error.kind(), format!("data folder {folder}: {error}"))
@@ -90,7 +90,7 @@
     let (identity, created) = DiskIdentity::open_or_create(&mut directory, &settings.name, fresh)
         .map_err(io::Error::other)?;
     let id = ReplicaId(identity.incarnation);
-    let group = first_group(&mut directory, settings, id, created).map_err(io::Error::other)?;
+    let group = initial_group(&mut directory, settings, id, created).map_err(io::Error::other)?;
     let (storage, recovered) = ReplicaStorage::open(directory).map_err(io::Error::other)?;
     log::info!(
         replica = id.0,
@@ -98,7 +98,7 @@
         term = recovered.hard_state.term,
         entries = recovered.entries.len(),
         commit_index = recovered.commit_index,
-        cut_bytes = recovered.cut_bytes,
+        cut_bytes = recovered.truncated_bytes,
         snapshot_index = recovered.snapshot.as_ref().map_or(0, |snapshot| snapshot.index),
         protocol = EncodingVersion::CURRENT.0,
         state_format = STATE_FORMAT;
@@ -119,7 +119,7 @@
     };
     let replica =
         Replica::new(replica_settings, restored, clock.now()).map_err(io::Error::other)?;
-    Ok(Some(Opened {
+    Ok(Some(OpenedReplica {
         id,
         replica,
         storage,
@@ -129,18 +129,18 @@
 
 /// The group before any membership entry. A replica that joins later learns
 /// the group from its leader.
-fn first_group(
+fn initial_group(
     directory: &mut DiskDirectory,
     settings: &OpenSettings,
     id: ReplicaId,
     created: bool,
 ) -> Result<Membership, StorageError> {
-    let addresses = match &settings.first_group {
-        FirstGroup::Named(members) if members.members.contains_key(&id) => {
+    let addresses = match &settings.initial_group {
+        InitialGroup::WithIds(members) if members.members.contains_key(&id) => {
             return Ok(members.clone());
         }
-        FirstGroup::Named(_) => return Ok(Membership::default()),
-        FirstGroup::Addressed(addresses) => addresses,
+        InitialGroup::WithIds(_) => return Ok(Membership::default()),
+        InitialGroup::ByAddress(addresses) => addresses,
     };
     if !created {
         return Ok(load_value(directory, FIRST_GROUP_FILE)?.unwrap_or_default());
@@ -151,7 +151,7 @@
             admin_address: address.admin.clone(),
             voter: true,
         };
-        (identity_of(address), member)
+        (replica_id_for(address), member)
     };
     let members = addresses.iter().map(member).collect();
     let group = Membership { members };
--- a/components/control-shell/src/directory.rs
+++ b/components/control-shell/src/directory.rs
@@ -30,18 +30,18 @@
 
 /// One reading of the list.
 #[derive(Debug, Default)]
-pub struct Listing {
+pub struct ListedMachines {
     /// The machines that it names.
     pub machines: Vec<MachineEntry>,
     /// Why entries were left aside, one reason for each: they name nothing that can
     /// be used.
-    pub left_aside: Vec<String>,
+    pub skipped_entries: Vec<String>,
 }
 
 /// Reads the list of machines.
 pub trait DirectoryPort {
     /// The whole list as it stands.
-    fn read(&self) -> impl Future<Output = Result<Listing, DirectoryError>>;
+    fn read(&self) -> impl Future<Output = Result<ListedMachines, DirectoryError>>;
     /// Pause between two readings.
     fn interval(&self) -> Duration;
     /// Whether only the leader reads, where each question has a price.
@@ -75,7 +75,7 @@
     metrics: &ReplicaMetrics,
 ) {
     let mut healthy = true;
-    let mut left_aside = 0;
+    let mut skipped_entries = 0;
     loop {
         if directory.leader_only() && !leads.get() {
             Timer::after(LEADERSHIP_CHECK).await;
@@ -87,10 +87,10 @@
                     log::info!(machines = listing.machines.len(); "directory_regained");
                 }
                 healthy = true;
-                metrics.left_entries_aside(listing.left_aside.len());
-                if listing.left_aside.len() != left_aside {
-                    left_aside = listing.left_aside.len();
-                    note_left_aside(&listing.left_aside);
+                metrics.left_entries_aside(listing.skipped_entries.len());
+                if listing.skipped_entries.len() != skipped_entries {
+                    skipped_entries = listing.skipped_entries.len();
+                    note_left_aside(&listing.skipped_entries);
                 }
                 let _unheard = events.send(Event::Machines(listing.machines)).await;
             }
--- a/components/control-shell/src/disk_room.rs
+++ b/components/control-shell/src/disk_space.rs
@@ -10,7 +10,7 @@
 ///
 /// # Errors
 /// Any other error of `open`.
-pub fn wait_for_room<T>(
+pub fn wait_for_space<T>(
     mut open: impl FnMut() -> io::Result<T>,
     mut pause: impl FnMut(),
 ) -> io::Result<T> {
--- a/components/control-shell/src/lib.rs
+++ b/components/control-shell/src/lib.rs
@@ -6,26 +6,26 @@
 //! engines, a [`DutyPort`] calls the platform, and operators reach the replica through [`Connections::ask`].
 
 mod connections;
+mod data_folder;
 mod directory;
 mod disk;
-mod disk_room;
+mod disk_space;
 mod duties;
 mod engines;
 mod joining;
 mod metrics;
-mod opening;
 mod peer_link;
 mod replica_task;
-mod stopping;
+mod shutdown;
 
 pub use connections::Connections;
-pub use directory::{DirectoryError, DirectoryPort, Listing};
-pub use disk_room::wait_for_room;
+pub use data_folder::{InitialGroup, OpenSettings, OpenedReplica, open, replica_id_for};
+pub use directory::{DirectoryError, DirectoryPort, ListedMachines};
+pub use disk_space::wait_for_space;
 pub use duties::{DutyPort, NoDuties};
 pub use engines::EnginePort;
 pub use joining::{GroupAddresses, MemberAddress};
 pub use metrics::ReplicaMetrics;
-pub use opening::{FirstGroup, OpenSettings, Opened, identity_of, open};
-pub use peer_link::{LinkEnd, carry_frames};
+pub use peer_link::{LinkEnd, send_frames};
 pub use replica_task::{ControlShell, Ports};
-pub use stopping::hand_over;
+pub use shutdown::transfer_leadership;
--- a/components/control-shell/src/peer_link.rs
+++ b/components/control-shell/src/peer_link.rs
@@ -27,9 +27,9 @@
     /// The peer closed it.
     Closed,
     /// A frame could not be written.
-    Broke,
+    WriteFailed,
     /// No frames will come any more.
-    NothingToSend,
+    QueueClosed,
     /// The peer may speak a later version by now.
     OfferAgain,
 }
@@ -52,7 +52,7 @@
         if let Some((reader, writer)) = open(&peer, &mut offers, &mut connect_time).await {
             let version = writer.version();
             let opened_at = Instant::now();
-            let end = carry_frames(reader, writer, first, &frames).await;
+            let end = send_frames(reader, writer, first, &frames).await;
             offers.ended(version, opened_at.elapsed());
             if matches!(end, LinkEnd::Closed | LinkEnd::OfferAgain) {
                 continue;
@@ -87,7 +87,7 @@
 }
 
 /// Sends `first` and all that follows until the connection is over.
-pub async fn carry_frames(
+pub async fn send_frames(
     mut reader: FrameReader,
     mut writer: FrameWriter,
     first: Frame,
@@ -98,11 +98,11 @@
         let mut next = Ok(first);
         while let Ok(frame) = next {
             if writer.send(frame).await.is_err() {
-                return LinkEnd::Broke;
+                return LinkEnd::WriteFailed;
             }
             next = frames.recv().await;
         }
-        LinkEnd::NothingToSend
+        LinkEnd::QueueClosed
     };
     let closed = async {
         // Nothing is expected here, so all that comes is its end.
--- a/components/control-shell/src/replica_task.rs
+++ b/components/control-shell/src/replica_task.rs
@@ -16,13 +16,13 @@
 use smol::{LocalExecutor, Timer};
 
 use crate::connections::Connections;
+use crate::data_folder::OpenedReplica;
 use crate::directory::{self, DirectoryPort};
 use crate::disk::{Disk, PersistEnd};
 use crate::duties::{DutyPort, log_answer};
 use crate::engines::{self, EnginePort};
 use crate::joining::{self, GroupAddresses, Standing};
 use crate::metrics::ReplicaMetrics;
-use crate::opening::Opened;
 
 const TICK: Millis = Millis(20);
 /// Events taken before the disk gets its turn.
@@ -67,7 +67,7 @@
     /// keeps its members itself.
     pub fn children<D, E, P>(
         &self,
-        opened: Opened,
+        opened: OpenedReplica,
         listener: TcpListener,
         ports: Ports<D, E, P>,
         join: Option<(JoinRequest, GroupAddresses)>,
@@ -138,7 +138,7 @@
 /// The child. It is essential: a replica whose disk failed must not go on, and
 /// starting it again in the same process would trust the same disk.
 fn child<E: EnginePort + 'static, P: DutyPort + 'static>(
-    opened: Opened,
+    opened: OpenedReplica,
     events: Receiver<Event>,
     outlets: Outlets<E, P>,
 ) -> ChildSpec {
@@ -157,12 +157,12 @@
 }
 
 async fn run<E: EnginePort + 'static, P: DutyPort + 'static>(
-    opened: Opened,
+    opened: OpenedReplica,
     events: Receiver<Event>,
     outlets: Outlets<E, P>,
     stop: StopSignal,
 ) -> Result<(), ChildError> {
-    let Opened {
+    let OpenedReplica {
         mut replica,
         mut storage,
         clock,
--- a/components/control-shell/src/stopping.rs
+++ b/components/control-shell/src/shutdown.rs
@@ -9,7 +9,7 @@
 
 /// Before a planned stop: asks another replica to lead, so that nobody has to
 /// wait for an election.
-pub async fn hand_over(connections: Connections) {
+pub async fn transfer_leadership(connections: Connections) {
     let change = MemberChange::TransferLeadership;
     let asked = connections.ask(OperatorRequest::Member(change));
     let late = async {
--- a/components/control-shell/tests/disk_room.rs
+++ b/components/control-shell/tests/disk_space.rs
@@ -3,7 +3,7 @@
 use std::cell::Cell;
 use std::io;
 
-use garnet_control_shell::wait_for_room;
+use garnet_control_shell::wait_for_space;
 
 #[test]
 fn a_full_disk_is_waited_for() {
@@ -13,7 +13,7 @@
         Some(false) => Ok("opened"),
         _ => Err(io::ErrorKind::StorageFull.into()),
     };
-    let opened = wait_for_room(open, || pauses.set(pauses.get() + 1));
+    let opened = wait_for_space(open, || pauses.set(pauses.get() + 1));
     assert_eq!(opened.expect("room at last"), "opened");
     assert_eq!(pauses.get(), 2);
 }
@@ -21,7 +21,7 @@
 #[test]
 fn any_other_error_is_told_at_once() {
     let open = || -> io::Result<()> { Err(io::ErrorKind::PermissionDenied.into()) };
-    let opened = wait_for_room(open, || panic!("nothing to wait for"));
+    let opened = wait_for_space(open, || panic!("nothing to wait for"));
     let error = opened.expect_err("it can't be opened");
     assert_eq!(error.kind(), io::ErrorKind::PermissionDenied);
 }
--- a/components/control-shell/tests/peer_link.rs
+++ b/components/control-shell/tests/peer_link.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use garnet_consensus::{Envelope, Message};
-use garnet_control_shell::{LinkEnd, carry_frames};
+use garnet_control_shell::{LinkEnd, send_frames};
 use garnet_runtime::ConnectTime;
 use garnet_runtime::frames;
 use garnet_types::{EncodingVersion, ReplicaId};
@@ -53,7 +53,7 @@
             drop((reader, writer));
             heard
         };
-        let carrying = smol::future::zip(carry_frames(reader, writer, frame(), &queued), peer);
+        let carrying = smol::future::zip(send_frames(reader, writer, frame(), &queued), peer);
         let hangs = async {
             Timer::after(HANGS).await;
             panic!("the end was not seen");
--- a/components/runtime/src/frames.rs
+++ b/components/runtime/src/frames.rs
@@ -3,7 +3,7 @@
 use asynchronous_codec::{BytesMut, Encoder, FramedRead};
 use futures_lite::{AsyncWriteExt, StreamExt};
 use garnet_types::EncodingVersion;
-use garnet_wire::{Accepted, Frame, FrameCodec, Sender, WireError, check_hello};
+use garnet_wire::{AcceptedHello, Frame, FrameCodec, Sender, WireError, check_hello};
 use smol::Timer;
 use smol::net::TcpStream;
 use std::io;
@@ -93,9 +93,9 @@
     ///
     /// # Errors
     /// When it is missing or of a version that is not spoken.
-    pub async fn accept(&mut self) -> Result<Accepted, WireError> {
+    pub async fn accept(&mut self) -> Result<AcceptedHello, WireError> {
         let Some(frame) = self.next().await? else {
-            return Err(WireError::NoHello);
+            return Err(WireError::MissingHello);
         };
         let accepted = check_hello(frame)?;
         self.set_version(accepted.version);
@@ -129,7 +129,7 @@
     ///
     /// # Errors
     /// When the connection broke.
-    pub async fn welcome(&mut self, accepted: &Accepted) -> Result<(), WireError> {
+    pub async fn welcome(&mut self, accepted: &AcceptedHello) -> Result<(), WireError> {
         let version = accepted.version;
         if accepted.awaits_welcome {
             self.send(Frame::Welcome { version }).await?;
--- a/components/simulator/src/control_host.rs
+++ b/components/simulator/src/control_host.rs
@@ -71,7 +71,7 @@
     /// Starts the replica from its disk.
     pub(crate) fn start(&mut self, now: Millis) {
         let mut disk = self.disk.clone();
-        disk.operations_left = self.crash_after.take();
+        disk.operations_until_failure = self.crash_after.take();
         let opened = ReplicaStorage::open(disk);
         let Ok((storage, recovered)) = opened else {
             // A crash planned for the next save struck while it was opened.
@@ -113,7 +113,7 @@
     /// Plans a crash in the middle of a later save.
     pub(crate) fn crash_in_save(&mut self, operations: u32) {
         if let Some(running) = &mut self.running {
-            running.storage.directory_mut().operations_left = Some(operations);
+            running.storage.directory_mut().operations_until_failure = Some(operations);
         }
     }
 
--- a/components/storage/src/error.rs
+++ b/components/storage/src/error.rs
@@ -35,7 +35,7 @@
         known: u32,
     },
     /// the folder belongs to {found}, not to {expected}
-    ForeignFolder {
+    WrongOwner {
         /// Owner named in the folder.
         found: String,
         /// Owner that was expected.
--- a/components/storage/src/identity.rs
+++ b/components/storage/src/identity.rs
@@ -53,7 +53,7 @@
             });
         }
         if self.owner != owner {
-            return Err(StorageError::ForeignFolder {
+            return Err(StorageError::WrongOwner {
                 found: self.owner.clone(),
                 expected: owner.to_owned(),
             });
--- a/components/storage/src/memory.rs
+++ b/components/storage/src/memory.rs
@@ -36,7 +36,7 @@
     pub full: bool,
     /// When set, so many more writes and syncs work, and then the disk breaks:
     /// a crash in the middle of a save.
-    pub operations_left: Option<u32>,
+    pub operations_until_failure: Option<u32>,
     /// Count of syncs of file content.
     pub syncs: u64,
 }
@@ -54,7 +54,7 @@
             durable: survived,
             broken: false,
             full: false,
-            operations_left: None,
+            operations_until_failure: None,
             syncs: 0,
         }
     }
@@ -74,7 +74,7 @@
     }
 
     fn check(&mut self) -> io::Result<()> {
-        match &mut self.operations_left {
+        match &mut self.operations_until_failure {
             Some(0) => self.broken = true,
             Some(left) => *left -= 1,
             None => {}
--- a/components/storage/src/replica.rs
+++ b/components/storage/src/replica.rs
@@ -51,7 +51,7 @@
     /// Highest index that is known to be committed; 0 where none is.
     pub commit_index: u64,
     /// Bytes of a torn last write that were cut off.
-    pub cut_bytes: u64,
+    pub truncated_bytes: u64,
 }
 
 /// The open files of one replica.
@@ -353,7 +353,7 @@
     }
     if frames.payloads.is_empty() {
         // Made just before a crash: it lacks even its opening record.
-        recovered.cut_bytes = bytes.len() as u64;
+        recovered.truncated_bytes = bytes.len() as u64;
         directory
             .remove(&name)
             .map_err(StorageError::io("remove", &name))?;
@@ -369,7 +369,7 @@
         }
     }
     if torn {
-        recovered.cut_bytes = (bytes.len() - frames.valid_length) as u64;
+        recovered.truncated_bytes = (bytes.len() - frames.valid_length) as u64;
         directory
             .truncate(&name, frames.valid_length as u64)
             .map_err(StorageError::io("truncate", &name))?;
--- a/components/storage/tests/recovery.rs
+++ b/components/storage/tests/recovery.rs
@@ -272,7 +272,7 @@
     assert!(!created);
     assert_eq!(again.incarnation, 77, "the identity stays with its disk");
     let foreign = DiskIdentity::open_or_create(&mut directory, "control-2", 1);
-    assert!(matches!(foreign, Err(StorageError::ForeignFolder { .. })));
+    assert!(matches!(foreign, Err(StorageError::WrongOwner { .. })));
     let newer = DiskIdentity {
         format: 99,
         ..identity
--- a/components/wire/src/error.rs
+++ b/components/wire/src/error.rs
@@ -17,7 +17,7 @@
     /// a frame can't be decoded: {0}
     Malformed(String),
     /// the other end speaks protocol version {found}, this one {known}
-    Version {
+    UnsupportedVersion {
         /// Version of the other end.
         found: EncodingVersion,
         /// Version of this end.
@@ -35,5 +35,5 @@
     /// the other end closed the connection instead of answering the hello
     HelloRefused,
     /// the connection did not open with a hello
-    NoHello,
+    MissingHello,
 }
--- a/components/wire/src/frame.rs
+++ b/components/wire/src/frame.rs
@@ -50,7 +50,7 @@
 
 /// A connection that was opened by another process.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Accepted {
+pub struct AcceptedHello {
     /// Who opened it.
     pub sender: Sender,
     /// Version of the connection.
@@ -63,19 +63,19 @@
 ///
 /// # Errors
 /// When it is no hello, or one of a version that is not spoken.
-pub fn check_hello(frame: Frame) -> Result<Accepted, WireError> {
+pub fn check_hello(frame: Frame) -> Result<AcceptedHello, WireError> {
     let Frame::Hello { version, sender } = frame else {
-        return Err(WireError::NoHello);
+        return Err(WireError::MissingHello);
     };
     let awaits_welcome = version >= EncodingVersion::V17;
     let is_spoken = version == EncodingVersion::V11 || version >= EncodingVersion::V16;
     if !is_spoken {
-        return Err(WireError::Version {
+        return Err(WireError::UnsupportedVersion {
             found: version,
             known: EncodingVersion::CURRENT,
         });
     }
-    Ok(Accepted {
+    Ok(AcceptedHello {
         sender,
         version: version.min(EncodingVersion::CURRENT),
         awaits_welcome,
--- a/components/wire/src/lib.rs
+++ b/components/wire/src/lib.rs
@@ -17,4 +17,4 @@
 
 pub use codec::{FrameCodec, MAX_FRAME_BYTES};
 pub use error::WireError;
-pub use frame::{Accepted, Frame, Sender, check_hello};
+pub use frame::{AcceptedHello, Frame, Sender, check_hello};
--- a/components/wire/src/v11.rs
+++ b/components/wire/src/v11.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::error::WireError;
-use crate::frame::{Frame as PresentFrame, Sender};
+use crate::frame::{Frame as CurrentFrame, Sender};
 
 #[derive(Serialize, Deserialize)]
 pub(crate) enum Frame {
@@ -25,26 +25,26 @@
     ///
     /// # Errors
     /// When it holds a configuration that version 11 can't follow.
-    pub(crate) fn of(frame: PresentFrame) -> Result<Option<Self>, WireError> {
+    pub(crate) fn of(frame: CurrentFrame) -> Result<Option<Self>, WireError> {
         Ok(match frame {
-            PresentFrame::Hello { version, sender } => Some(Frame::Hello { version, sender }),
-            PresentFrame::Peer(envelope) => Some(Frame::Peer(envelope)),
-            PresentFrame::Join(request) => Some(Frame::Join(request)),
-            PresentFrame::Gateway(request) => v11::GatewayRequest::of(request).map(Frame::Gateway),
-            PresentFrame::Control(reply) => v11::ControlReply::of(&reply)?.map(Frame::Control),
-            PresentFrame::Welcome { .. } => None,
+            CurrentFrame::Hello { version, sender } => Some(Frame::Hello { version, sender }),
+            CurrentFrame::Peer(envelope) => Some(Frame::Peer(envelope)),
+            CurrentFrame::Join(request) => Some(Frame::Join(request)),
+            CurrentFrame::Gateway(request) => v11::GatewayRequest::of(request).map(Frame::Gateway),
+            CurrentFrame::Control(reply) => v11::ControlReply::of(&reply)?.map(Frame::Control),
+            CurrentFrame::Welcome { .. } => None,
         })
     }
 }
 
-impl From<Frame> for PresentFrame {
+impl From<Frame> for CurrentFrame {
     fn from(frame: Frame) -> Self {
         match frame {
-            Frame::Hello { version, sender } => PresentFrame::Hello { version, sender },
-            Frame::Peer(envelope) => PresentFrame::Peer(envelope),
-            Frame::Join(request) => PresentFrame::Join(request),
-            Frame::Gateway(request) => PresentFrame::Gateway(request.into()),
-            Frame::Control(reply) => PresentFrame::Control(reply.into()),
+            Frame::Hello { version, sender } => CurrentFrame::Hello { version, sender },
+            Frame::Peer(envelope) => CurrentFrame::Peer(envelope),
+            Frame::Join(request) => CurrentFrame::Join(request),
+            Frame::Gateway(request) => CurrentFrame::Gateway(request.into()),
+            Frame::Control(reply) => CurrentFrame::Control(reply.into()),
         }
     }
 }
--- a/components/wire/tests/frames.rs
+++ b/components/wire/tests/frames.rs
@@ -128,14 +128,17 @@
         }
         (result, expected) => {
             assert_eq!(expected, None);
-            assert!(matches!(result, Err(WireError::Version { .. })));
+            assert!(matches!(result, Err(WireError::UnsupportedVersion { .. })));
         }
     }
 }
 
 #[test]
 fn a_connection_that_opens_without_a_hello_is_refused() {
-    assert!(matches!(check_hello(watch(1)), Err(WireError::NoHello)));
+    assert!(matches!(
+        check_hello(watch(1)),
+        Err(WireError::MissingHello)
+    ));
 }
 
 proptest! {
