--- a/components/storage/src/directory.rs
+++ b/components/storage/src/directory.rs
@@ -1,26 +1,26 @@
-//! One flat folder of files: the only way to the disk.
+//! One flat folder of files, through which all disk access goes.
 
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 
-/// Files in one folder. Only synced content and synced names last.
+/// Files in one folder. Only synced content and synced names are durable.
 pub trait Directory: Send {
     /// Names of all files, in order.
     fn list(&self) -> io::Result<Vec<String>>;
-    /// Whole content of a file.
+    /// The full content of a file.
     fn read(&self, name: &str) -> io::Result<Vec<u8>>;
-    /// Adds bytes at the end of a file, which is made when it is not there.
+    /// Appends bytes to a file, which is created when it does not exist.
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()>;
-    /// Cuts a file to `length` bytes.
+    /// Truncates a file to `length` bytes.
     fn truncate(&mut self, name: &str, length: u64) -> io::Result<()>;
-    /// Makes a file's content last.
+    /// Makes the content of a file durable.
     fn sync(&mut self, name: &str) -> io::Result<()>;
-    /// Gives a file another name, replacing a file that has it.
+    /// Renames a file, replacing any file of the new name.
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()>;
     /// Removes a file.
     fn remove(&mut self, name: &str) -> io::Result<()>;
-    /// Makes new names, renames and removals last.
+    /// Makes the creation, renaming and removal of files durable.
     fn sync_names(&mut self) -> io::Result<()>;
 }
 
@@ -33,13 +33,13 @@
 }
 
 impl DiskDirectory {
-    /// Opens the folder, making it when it is not there, and checks that it
-    /// can be written.
+    /// Opens the folder, creating it when it does not exist, and checks that it is
+    /// writable.
     ///
     /// # Errors
-    /// When the folder can't be made or written.
+    /// When the folder can't be created or written.
     pub fn open(path: &Path) -> io::Result<Self> {
-        make_folder(path)?;
+        create_folder(path)?;
         let probe = path.join(".write-probe");
         File::create(&probe)?.sync_all()?;
         fs::remove_file(&probe)?;
@@ -49,7 +49,7 @@
         })
     }
 
-    fn handle(&mut self, name: &str) -> io::Result<&mut File> {
+    fn open_for_append(&mut self, name: &str) -> io::Result<&mut File> {
         let is_open = self.open.as_ref().is_some_and(|(open, _)| open == name);
         if !is_open {
             let file = OpenOptions::new()
@@ -65,23 +65,23 @@
     }
 }
 
-/// Makes a folder, and those above it, so that its name outlives a loss of
-/// power: what is synced inside is gone with a name that is not.
-fn make_folder(path: &Path) -> io::Result<()> {
+/// Creates a folder and its parents, and syncs each parent. Without that a power loss
+/// could remove the name of the folder, and with it everything synced inside.
+fn create_folder(path: &Path) -> io::Result<()> {
     if path.is_dir() {
         return Ok(());
     }
-    let above = match path.parent() {
-        Some(above) if !above.as_os_str().is_empty() => above,
+    let parent_path = match path.parent() {
+        Some(parent_path) if !parent_path.as_os_str().is_empty() => parent_path,
         _ => Path::new("."),
     };
-    make_folder(above)?;
+    create_folder(parent_path)?;
     match fs::create_dir(path) {
-        // Another process was faster.
+        // Another process created it meanwhile.
         Err(error) if error.kind() == io::ErrorKind::AlreadyExists && path.is_dir() => {}
-        made => made?,
+        created => created?,
     }
-    File::open(above)?.sync_all()
+    File::open(parent_path)?.sync_all()
 }
 
 impl Directory for DiskDirectory {
@@ -102,15 +102,15 @@
     }
 
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
-        self.handle(name)?.write_all(bytes)
+        self.open_for_append(name)?.write_all(bytes)
     }
 
     fn truncate(&mut self, name: &str, length: u64) -> io::Result<()> {
-        self.handle(name)?.set_len(length)
+        self.open_for_append(name)?.set_len(length)
     }
 
     fn sync(&mut self, name: &str) -> io::Result<()> {
-        self.handle(name)?.sync_data()
+        self.open_for_append(name)?.sync_data()
     }
 
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()> {
--- a/components/storage/src/error.rs
+++ b/components/storage/src/error.rs
@@ -1,44 +1,44 @@
-//! What can go wrong with a data folder.
+//! Errors of a data folder.
 
 use std::io;
 
 use displaydoc::Display;
 use thiserror::Error;
 
-/// A failure of the data folder. Only a full disk is waited for, see
-/// [`StorageError::is_full`]; nothing else is retried.
+/// A failure of the data folder. Only a call that failed on a full disk may be retried,
+/// see [`StorageError::is_full`].
 #[derive(Debug, Display, Error)]
 pub enum StorageError {
     /// {operation} of {file}: {source}
     Io {
-        /// What was tried.
+        /// The operation that failed.
         operation: &'static str,
-        /// On which file.
+        /// The file of the operation.
         file: String,
-        /// The system's answer.
+        /// The error of the operating system.
         source: io::Error,
     },
     /// {file} is damaged at byte {offset}: {reason}
     Damaged {
         /// The file.
         file: String,
-        /// Where the damage begins.
+        /// Offset at which the damage begins.
         offset: u64,
-        /// What is wrong there.
+        /// What is wrong with the content.
         reason: &'static str,
     },
-    /// the folder has format {found}, this program knows {known}
+    /// the data folder has format {found}, but this build supports no format above {known}
     NewerFormat {
-        /// Version found.
+        /// Format of the folder.
         found: u32,
-        /// Version known.
+        /// Newest format that this build supports.
         known: u32,
     },
-    /// the folder belongs to {found}, not to {expected}
+    /// the data folder belongs to {found}, not to {expected}
     WrongOwner {
-        /// Owner named in the folder.
+        /// Owner recorded in the folder.
         found: String,
-        /// Owner that was expected.
+        /// Owner that the process expects.
         expected: String,
     },
     /// a value can't be encoded: {0}
@@ -48,7 +48,7 @@
 }
 
 impl StorageError {
-    /// Whether the disk had no room: the same call may be made again.
+    /// Whether the disk was full, so that the same call may be retried.
     pub fn is_full(&self) -> bool {
         match self {
             StorageError::Io { source, .. } => source.kind() == io::ErrorKind::StorageFull,
--- a/components/storage/src/frame.rs
+++ b/components/storage/src/frame.rs
@@ -1,16 +1,16 @@
 //! Frames: one checksummed unit for each sync.
 //!
-//! A frame is written only after the one before it was synced, so after a
-//! crash at most the last frame of the last segment can be torn. A bad frame
-//! that a good one follows is damage of the medium.
+//! A frame is written only after the previous one was synced. After a crash, at
+//! most the last frame of the last segment can be torn. An invalid frame that is
+//! followed by a valid one means that the medium is damaged.
 
-/// Marks the start of a frame; lets a reader find a good frame behind a bad one.
+/// Marks the start of a frame, so that a valid frame can be found after an invalid one.
 const MAGIC: [u8; 4] = *b"GCF1";
-/// Magic, length and checksum.
+/// Length of the header: magic, payload length and checksum.
 const HEADER_BYTES: usize = 12;
 
-/// The payload of the frame that starts at the front of `bytes`, if it is
-/// whole, and the frame's length.
+/// The payload and the length of the frame at the start of `bytes`, if that frame is
+/// complete and its checksum matches.
 fn parse(bytes: &[u8]) -> Option<(&[u8], usize)> {
     let header = bytes.get(..HEADER_BYTES)?;
     if header[..4] != MAGIC {
@@ -23,7 +23,7 @@
     intact.then_some((payload, HEADER_BYTES + length))
 }
 
-/// Wraps a payload.
+/// Encodes a payload as a frame.
 pub(crate) fn encode(payload: &[u8]) -> Vec<u8> {
     let mut frame = Vec::with_capacity(HEADER_BYTES + payload.len());
     frame.extend_from_slice(&MAGIC);
@@ -33,33 +33,34 @@
     frame
 }
 
-/// What a file of frames holds.
+/// The frames of a file.
 #[derive(Debug)]
 pub(crate) struct Frames<'a> {
-    /// Payloads in order.
+    /// Payloads, in order.
     pub payloads: Vec<&'a [u8]>,
-    /// Bytes of whole frames from the start of the file.
+    /// Length in bytes of the valid frames at the start of the file.
     pub valid_length: usize,
-    /// Whether a whole frame was found behind the first bad byte.
+    /// Whether a valid frame follows the first invalid byte.
     pub damaged: bool,
 }
 
 /// Reads all frames of a file.
 pub(crate) fn read_all(bytes: &[u8]) -> Frames<'_> {
     let mut payloads = Vec::new();
-    let mut at = 0;
-    while let Some((payload, length)) = parse(&bytes[at..]) {
+    let mut offset = 0;
+    while let Some((payload, length)) = parse(&bytes[offset..]) {
         payloads.push(payload);
-        at += length;
+        offset += length;
     }
-    let damaged = at < bytes.len() && has_frame(&bytes[at + 1..]);
+    let damaged = offset < bytes.len() && contains_frame(&bytes[offset + 1..]);
     Frames {
         payloads,
-        valid_length: at,
+        valid_length: offset,
         damaged,
     }
 }
 
-fn has_frame(bytes: &[u8]) -> bool {
-    (0..bytes.len().saturating_sub(HEADER_BYTES - 1)).any(|at| parse(&bytes[at..]).is_some())
+fn contains_frame(bytes: &[u8]) -> bool {
+    (0..bytes.len().saturating_sub(HEADER_BYTES - 1))
+        .any(|offset| parse(&bytes[offset..]).is_some())
 }
--- a/components/storage/src/identity.rs
+++ b/components/storage/src/identity.rs
@@ -1,4 +1,4 @@
-//! Who a data folder belongs to.
+//! The owner of a data folder.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,42 +6,44 @@
 use crate::error::StorageError;
 use crate::value::{load_value, save_value};
 
-/// Format of the files that this version writes.
+/// Format of the files that this build writes.
 pub const FORMAT_VERSION: u32 = 1;
-const FILE: &str = "identity";
+const IDENTITY_FILE: &str = "identity";
 
-/// Written and synced when a folder is made, before anything else.
+/// Identity of a data folder, written and synced when the folder is created, before
+/// anything else.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DiskIdentity {
     /// Format of the folder.
     pub format: u32,
-    /// Role and place of the owner, such as `control-2`.
+    /// Name of the process that owns the folder, such as `control-2`.
     pub owner: String,
-    /// Drawn at random when the disk is made: an empty disk that replaces this
-    /// one gets another number, so its owner can't pass for the former one.
+    /// Chosen at random when the disk is first used. An empty disk that replaces this
+    /// one gets another number, so that its owner is not mistaken for the previous one.
     pub incarnation: u64,
 }
 
 impl DiskIdentity {
-    /// Reads the identity, or makes the folder one with `fresh`.
+    /// Reads the identity, or creates one with `new_incarnation`. The second value
+    /// of the result is whether it was created.
     ///
     /// # Errors
-    /// When the folder is of a newer format or of another owner.
+    /// When the folder has a newer format or another owner.
     pub fn open_or_create(
         directory: &mut dyn Directory,
         owner: &str,
-        fresh: u64,
+        new_incarnation: u64,
     ) -> Result<(Self, bool), StorageError> {
-        if let Some(found) = load_value::<DiskIdentity>(directory, FILE)? {
+        if let Some(found) = load_value::<DiskIdentity>(directory, IDENTITY_FILE)? {
             found.check(owner)?;
             return Ok((found, false));
         }
         let identity = DiskIdentity {
             format: FORMAT_VERSION,
             owner: owner.to_owned(),
-            incarnation: fresh,
+            incarnation: new_incarnation,
         };
-        save_value(directory, FILE, &identity)?;
+        save_value(directory, IDENTITY_FILE, &identity)?;
         Ok((identity, true))
     }
 
--- a/components/storage/src/lib.rs
+++ b/components/storage/src/lib.rs
@@ -1,13 +1,14 @@
 //! Durable state of one process: log segments, snapshots and small values.
 //!
-//! Contract: [`ReplicaStorage::write`] returns only when what it was given is
-//! synced. After a crash at any moment, [`ReplicaStorage::open`] gives back
-//! everything that a finished call wrote, and refuses a folder whose synced
-//! content is damaged, naming the place. A failed write or sync is final: the
-//! storage refuses to go on, since the kernel may have dropped the data.
+//! Contract: [`ReplicaStorage::write`] returns only after its input is synced.
+//! After a crash at any moment, [`ReplicaStorage::open`] recovers everything that
+//! a completed call wrote. It refuses a folder whose synced content is damaged, and
+//! reports the file and offset of the damage. Except on a full disk, a failed write
+//! or sync is final: the storage refuses further calls, since the kernel may have
+//! dropped the data.
 //!
 //! All file access goes through [`Directory`], so that the simulator can lose
-//! and tear what was not synced.
+//! or tear writes that were not synced.
 
 mod directory;
 mod error;
--- a/components/storage/src/memory.rs
+++ b/components/storage/src/memory.rs
@@ -1,20 +1,19 @@
-//! A folder in memory that loses what was not synced, for tests and the
-//! simulator.
+//! A folder in memory that can lose unsynced writes, for tests and the simulator.
 
 use std::collections::BTreeMap;
 use std::io;
 
 use crate::directory::Directory;
 
-/// What a power loss does to bytes that were written and not synced.
+/// The effect of a power loss on bytes that were written and not synced.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PowerLoss {
-    /// They are gone.
+    /// They are lost.
     DropUnsynced,
-    /// The first so many of them are kept: a torn write.
+    /// Only the given number of them is kept, as by a torn write.
     KeepPrefix(usize),
-    /// They are all there, with the byte at this offset from the first
-    /// unsynced one flipped.
+    /// All of them are kept, but the byte at this offset from the first unsynced one
+    /// is changed.
     Flip(usize),
 }
 
@@ -24,30 +23,30 @@
     synced_length: usize,
 }
 
-/// Files in memory. Names are durable once [`Directory::sync_names`] ran.
+/// Files in memory. Names are durable after [`Directory::sync_names`].
 #[derive(Debug, Clone, Default)]
 pub struct MemoryDirectory {
     files: BTreeMap<String, MemoryFile>,
     durable: BTreeMap<String, MemoryFile>,
-    /// When set, each write or sync fails as on a full or broken disk.
+    /// When set, each write or sync fails as on a broken disk.
     pub broken: bool,
-    /// When set, each write or sync is refused as on a full disk, and a write
-    /// leaves its first half behind.
+    /// When set, each write or sync fails as on a full disk, and a write leaves its
+    /// first half behind.
     pub full: bool,
-    /// When set, so many more writes and syncs work, and then the disk breaks:
-    /// a crash in the middle of a save.
+    /// When set, the disk breaks after this number of further writes and syncs, as by a
+    /// crash in the middle of a save.
     pub operations_until_failure: Option<u32>,
-    /// Count of syncs of file content.
+    /// Number of syncs of file content.
     pub syncs: u64,
 }
 
 impl MemoryDirectory {
-    /// The folder as a process finds it after a power loss.
+    /// The folder in its state after a power loss.
     pub fn after_power_loss(&self, loss: PowerLoss) -> MemoryDirectory {
         let mut survived = BTreeMap::new();
         for (name, durable) in &self.durable {
             let current = self.files.get(name).unwrap_or(durable);
-            survived.insert(name.clone(), survive(current, loss));
+            survived.insert(name.clone(), file_after_power_loss(current, loss));
         }
         MemoryDirectory {
             files: survived.clone(),
@@ -64,7 +63,7 @@
         self.files.values().map(|file| file.content.len()).sum()
     }
 
-    /// Flips one byte, to model damage on the medium.
+    /// Flips one byte, to simulate damage of the medium.
     pub fn damage(&mut self, name: &str, offset: usize) {
         if let Some(file) = self.files.get_mut(name)
             && let Some(byte) = file.content.get_mut(offset)
@@ -95,7 +94,7 @@
     }
 }
 
-fn survive(file: &MemoryFile, loss: PowerLoss) -> MemoryFile {
+fn file_after_power_loss(file: &MemoryFile, loss: PowerLoss) -> MemoryFile {
     let synced = file.synced_length;
     let mut content = match loss {
         PowerLoss::DropUnsynced => file.content[..synced].to_vec(),
@@ -134,12 +133,12 @@
             return checked;
         }
         let file = self.files.entry(name.to_owned()).or_default();
-        let fits = if is_full {
+        let written = if is_full {
             bytes.len() / 2
         } else {
             bytes.len()
         };
-        file.content.extend_from_slice(&bytes[..fits]);
+        file.content.extend_from_slice(&bytes[..written]);
         checked
     }
 
--- a/components/storage/src/replica.rs
+++ b/components/storage/src/replica.rs
@@ -1,12 +1,12 @@
 //! Log segments and snapshots of one control replica.
 //!
-//! Segments are append-only. A later record replaces what earlier ones said of
-//! its index and all after it, so a log that is cut back needs no rewriting.
-//! Each segment opens with the hard state, so that older ones can be removed.
+//! Segments are append-only. An entry replaces earlier entries at its index and all
+//! later indexes, so that truncating the log needs no rewriting. Each segment starts
+//! with the hard state, so that older segments can be removed.
 //!
-//! Contract: a call that fails for want of room ([`StorageError::is_full`])
-//! changed nothing that counts and may be made again; what it left behind is cut
-//! off first. Any other failure is final: what lasted can't be known.
+//! Contract: a call that fails on a full disk ([`StorageError::is_full`]) changed no
+//! recoverable state and may be retried; the next call first truncates what it left
+//! behind. Any other failure is final, since it is unknown what is durable.
 
 use garnet_consensus::{Entry, HardState, Ready, Snapshot};
 use serde::{Deserialize, Serialize};
@@ -16,7 +16,7 @@
 use crate::frame;
 use crate::value::{TEMPORARY_SUFFIX, decode, encode, load_value, save_value};
 
-/// A segment is closed when it has grown to this many bytes.
+/// Size from which on a segment is closed and the next one started.
 const SEGMENT_BYTES: u64 = 1 << 20;
 const SEGMENT_PREFIX: &str = "segment-";
 const SNAPSHOT_PREFIX: &str = "snapshot-";
@@ -25,7 +25,7 @@
 enum Record {
     HardState(HardState),
     Entry(Entry),
-    /// The log was replaced by the snapshot at this index.
+    /// The log was replaced by a snapshot at this index.
     Reset(u64),
     /// Everything up to this index is committed.
     Committed(u64),
@@ -34,23 +34,23 @@
 #[derive(Debug)]
 struct Segment {
     name: String,
-    /// Highest index of any entry in it.
+    /// Highest index of any entry in the segment.
     highest_index: u64,
     bytes: u64,
 }
 
-/// What a replica's folder held when it was opened.
+/// The state that was recovered from a replica's folder.
 #[derive(Debug, Default)]
 pub struct Recovered {
     /// Term and vote.
     pub hard_state: HardState,
-    /// Newest snapshot.
+    /// The newest snapshot.
     pub snapshot: Option<Snapshot>,
-    /// Entries after it.
+    /// Log entries after the snapshot.
     pub entries: Vec<Entry>,
-    /// Highest index that is known to be committed; 0 where none is.
+    /// Highest index that is known to be committed, or 0.
     pub commit_index: u64,
-    /// Bytes of a torn last write that were cut off.
+    /// Bytes of a torn last write that were truncated.
     pub truncated_bytes: u64,
 }
 
@@ -62,15 +62,15 @@
     next_segment: u64,
     hard_state: HardState,
     poisoned: bool,
-    /// Whether a write that found no room may have left a part behind.
-    has_remains: bool,
+    /// Whether a write that failed on a full disk may have left a part behind.
+    has_partial_write: bool,
 }
 
 impl<D: Directory> ReplicaStorage<D> {
-    /// Reads a folder back, cutting a torn last write.
+    /// Recovers the state from a folder and truncates a torn last write.
     ///
     /// # Errors
-    /// When synced content is damaged or the disk refuses.
+    /// When synced content is damaged or a disk operation fails.
     pub fn open(mut directory: D) -> Result<(Self, Recovered), StorageError> {
         let names = directory.list().map_err(StorageError::io("list", "."))?;
         remove_temporary_files(&mut directory, &names)?;
@@ -103,12 +103,12 @@
             next_segment,
             hard_state: recovered.hard_state,
             poisoned: false,
-            has_remains: false,
+            has_partial_write: false,
         };
         Ok((storage, recovered))
     }
 
-    /// Makes the durable part of `ready` last, with one sync of the log.
+    /// Writes the records of `ready` and makes them durable with one sync of the log.
     ///
     /// # Errors
     /// Any failure but a full disk poisons the storage: see the module's
@@ -117,22 +117,22 @@
         if !ready.needs_sync() {
             return Ok(());
         }
-        self.guarded(|storage| storage.write_records(ready))
+        self.run_unless_poisoned(|storage| storage.write_records(ready))
     }
 
-    /// Makes a snapshot last and drops the segments and snapshots it covers.
+    /// Makes a snapshot durable and removes the segments and snapshots that it covers.
     ///
     /// # Errors
     /// Any failure but a full disk poisons the storage: see the module's
     /// contract.
     pub fn save_snapshot(&mut self, snapshot: &Snapshot) -> Result<(), StorageError> {
-        self.guarded(|storage| {
+        self.run_unless_poisoned(|storage| {
             storage.write_snapshot(snapshot)?;
-            storage.drop_covered(snapshot.index)
+            storage.remove_covered(snapshot.index)
         })
     }
 
-    /// The folder, for the identity and small values.
+    /// The folder, for writing the identity and small values.
     pub fn directory_mut(&mut self) -> &mut D {
         &mut self.directory
     }
@@ -142,26 +142,26 @@
         &self.directory
     }
 
-    fn guarded(
+    fn run_unless_poisoned(
         &mut self,
         work: impl FnOnce(&mut Self) -> Result<(), StorageError>,
     ) -> Result<(), StorageError> {
         if self.poisoned {
             return Err(StorageError::Poisoned);
         }
-        let result = self.cut_remains().and_then(|()| work(self));
+        let result = self.truncate_partial_write().and_then(|()| work(self));
         match &result {
             Ok(()) => {}
-            Err(error) if error.is_full() => self.has_remains = true,
+            Err(error) if error.is_full() => self.has_partial_write = true,
             Err(_) => self.poisoned = true,
         }
         result
     }
 
-    /// Cuts off what a write left behind that found no room. Nobody was told
-    /// of it, and later records must not follow on half a record.
-    fn cut_remains(&mut self) -> Result<(), StorageError> {
-        if !self.has_remains {
+    /// Truncates what a write left behind that failed on a full disk. It was not
+    /// acknowledged, and later records must not follow a partial one.
+    fn truncate_partial_write(&mut self) -> Result<(), StorageError> {
+        if !self.has_partial_write {
             return Ok(());
         }
         let unfinished = segment_name(self.next_segment);
@@ -179,7 +179,7 @@
                 .truncate(&segment.name, segment.bytes)
                 .map_err(StorageError::io("truncate", &segment.name))?;
         }
-        self.has_remains = false;
+        self.has_partial_write = false;
         Ok(())
     }
 
@@ -197,7 +197,7 @@
         records.extend(ready.commit_index().map(Record::Committed));
         self.append_frame(&records)?;
         if let Some(snapshot) = &ready.snapshot {
-            self.drop_covered(snapshot.index)?;
+            self.remove_covered(snapshot.index)?;
         }
         Ok(())
     }
@@ -231,8 +231,8 @@
 
     fn start_segment(&mut self) -> Result<(), StorageError> {
         let name = segment_name(self.next_segment);
-        let opening = [Record::HardState(self.hard_state)];
-        let bytes = frame::encode(&encode(&opening.as_slice())?);
+        let first_records = [Record::HardState(self.hard_state)];
+        let bytes = frame::encode(&encode(&first_records.as_slice())?);
         self.directory
             .append(&name, &bytes)
             .map_err(StorageError::io("write", &name))?;
@@ -259,8 +259,9 @@
         )
     }
 
-    fn drop_covered(&mut self, index: u64) -> Result<(), StorageError> {
-        // The last segment stays open; earlier ones go while all before them go.
+    fn remove_covered(&mut self, index: u64) -> Result<(), StorageError> {
+        // The last segment stays open. Earlier ones are removed in order, up to the first
+        // that is still needed.
         while self.segments.len() > 1 && self.segments[0].highest_index <= index {
             self.segments.remove(0);
         }
@@ -268,16 +269,18 @@
             .directory
             .list()
             .map_err(StorageError::io("list", "."))?;
-        let kept = snapshot_name(index);
-        // By the folder, not by what is forgotten here: a removal that found
-        // no room is made up for by the next one.
+        let kept_snapshot = snapshot_name(index);
+        // Obsolete files are found by listing the folder, so that a removal that failed on
+        // a full disk is made up for by the next call.
         let old_snapshots = with_prefix(&names, SNAPSHOT_PREFIX);
-        let old_snapshots = old_snapshots.into_iter().filter(|name| *name < kept);
+        let old_snapshots = old_snapshots
+            .into_iter()
+            .filter(|name| *name < kept_snapshot);
         let first_kept = self.segments.first().map(|segment| segment.name.clone());
         let old_segments = with_prefix(&names, SEGMENT_PREFIX);
         let old_segments = old_segments
             .into_iter()
-            .filter(|name| first_kept.as_ref().is_some_and(|kept| name < kept));
+            .filter(|name| first_kept.as_ref().is_some_and(|oldest| name < oldest));
         let obsolete: Vec<String> = old_segments.chain(old_snapshots).collect();
         for name in &obsolete {
             self.directory
@@ -286,7 +289,7 @@
         }
         self.directory
             .sync_names()
-            .map_err(StorageError::io("sync of the folder for", &kept))
+            .map_err(StorageError::io("sync of the folder for", &kept_snapshot))
     }
 }
 
@@ -348,11 +351,11 @@
         return Err(StorageError::Damaged {
             file: name,
             offset: frames.valid_length as u64,
-            reason: "a record with a wrong checksum stands before good ones",
+            reason: "a frame with a wrong checksum precedes valid ones",
         });
     }
     if frames.payloads.is_empty() {
-        // Made just before a crash: it lacks even its opening record.
+        // The segment was created just before a crash, and lacks even its first frame.
         recovered.truncated_bytes = bytes.len() as u64;
         directory
             .remove(&name)
@@ -386,9 +389,9 @@
 
 /// Drops entries that a snapshot from a leader replaced just before a crash.
 ///
-/// Terms never fall along a log. An entry behind the snapshot with a lower
-/// term is left over from a log that lost, and keeping it would make this
-/// replica look older than it is when it votes.
+/// Terms never decrease along a log. An entry after the snapshot with a lower term
+/// belongs to a log that was superseded. Keeping it would give this replica a lower last
+/// term than it has, which counts when it votes.
 fn discard_replaced_log(recovered: &mut Recovered) {
     let snapshot_term = recovered.snapshot.as_ref().map_or(0, |s| s.term);
     let replaced = recovered
@@ -409,7 +412,7 @@
             while recovered
                 .entries
                 .last()
-                .is_some_and(|held| held.index >= entry.index)
+                .is_some_and(|last_entry| last_entry.index >= entry.index)
             {
                 recovered.entries.pop();
             }
@@ -420,7 +423,7 @@
     }
 }
 
-/// The entries must go on from the snapshot without a gap.
+/// Checks that the entries follow the snapshot without a gap.
 fn check_contiguous(recovered: &Recovered, snapshot_index: u64) -> Result<(), StorageError> {
     for (expected, entry) in (snapshot_index + 1..).zip(&recovered.entries) {
         if entry.index != expected {
--- a/components/storage/src/value.rs
+++ b/components/storage/src/value.rs
@@ -1,4 +1,4 @@
-//! One small value in one file, replaced as a whole or not at all.
+//! One small value in one file, replaced atomically.
 
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -7,7 +7,7 @@
 use crate::error::StorageError;
 use crate::frame;
 
-/// Ending of a file that is being written.
+/// Suffix of a file that is not completely written yet.
 pub(crate) const TEMPORARY_SUFFIX: &str = ".tmp";
 
 pub(crate) fn encode<T: Serialize>(value: &T) -> Result<Vec<u8>, StorageError> {
@@ -21,14 +21,15 @@
         .map_err(|_| StorageError::Damaged {
             file: file.to_owned(),
             offset: 0,
-            reason: "the content has another shape",
+            reason: "the content does not decode as the expected type",
         })
 }
 
-/// Replaces the value in `name`; when this returns, it lasts.
+/// Replaces the value in `name`. The new value is durable when this returns.
 ///
 /// # Errors
-/// When the disk refuses; the old value is still there then.
+/// When a disk operation fails. The file then holds the old value, or the new one if only
+/// the last sync failed.
 pub fn save_value<T: Serialize>(
     directory: &mut dyn Directory,
     name: &str,
@@ -59,7 +60,7 @@
         .map_err(StorageError::io("sync of the folder for", name))
 }
 
-/// The value in `name`, or `None` when it was never saved.
+/// Loads the value in `name`, or `None` when it was never saved.
 ///
 /// # Errors
 /// When the file can't be read or is damaged.
--- a/components/storage/tests/recovery.rs
+++ b/components/storage/tests/recovery.rs
@@ -1,4 +1,4 @@
-//! A data folder gives back everything that a finished call wrote.
+//! Recovery of a data folder returns everything that a completed call wrote.
 
 use std::sync::Arc;
 
@@ -56,7 +56,7 @@
     assert_eq!(recovered.hard_state.voted_for, Some(ReplicaId(1)));
 }
 
-/// A vote that follows on earlier records stands in no segment's opening.
+/// The vote is not in the hard state at the start of the segment, only in a later record.
 #[test]
 fn a_vote_alone_survives() {
     let mut storage = open(MemoryDirectory::default());
@@ -77,9 +77,9 @@
     assert_eq!(recovered.hard_state, vote);
 }
 
-/// What is committed stays so, and a replica that starts again may rely on it.
+/// A replica that restarts relies on the commit index that it wrote.
 #[test]
-fn what_is_known_to_be_committed_survives() {
+fn the_commit_index_survives() {
     let mut storage = open(MemoryDirectory::default());
     storage.write(&entries(1..=5, 3)).expect("written");
     let committed = Ready {
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn a_later_entry_replaces_all_from_its_index_on() {
+fn a_later_entry_replaces_all_entries_from_its_index_on() {
     let mut storage = open(MemoryDirectory::default());
     storage.write(&entries(1..=5, 1)).expect("written");
     storage.write(&entries(3..=3, 2)).expect("written");
@@ -105,16 +105,16 @@
         .directory()
         .after_power_loss(PowerLoss::DropUnsynced);
     let (_, recovered) = ReplicaStorage::open(after).expect("sound");
-    let held: Vec<(u64, u64)> = recovered
+    let recovered_entries: Vec<(u64, u64)> = recovered
         .entries
         .iter()
         .map(|e| (e.index, e.term))
         .collect();
-    assert_eq!(held, vec![(1, 1), (2, 1), (3, 2)]);
+    assert_eq!(recovered_entries, vec![(1, 1), (2, 1), (3, 2)]);
 }
 
 #[test]
-fn a_snapshot_keeps_the_folder_small() {
+fn snapshots_bound_the_size_of_the_folder() {
     let mut storage = open(MemoryDirectory::default());
     let mut largest = 0;
     for round in 0..200_u64 {
@@ -137,8 +137,8 @@
 }
 
 #[test]
-fn entries_of_a_log_that_lost_are_dropped_behind_a_leaders_snapshot() {
-    // A crash between the snapshot and the record that voids the old log.
+fn entries_of_a_superseded_log_are_dropped_after_a_leaders_snapshot() {
+    // The crash comes between the snapshot and the record that resets the old log.
     let mut storage = open(MemoryDirectory::default());
     storage.write(&entries(1..=9, 1)).expect("written");
     storage.save_snapshot(&snapshot(6, 4)).expect("saved");
@@ -153,7 +153,7 @@
 }
 
 #[test]
-fn damage_before_good_records_is_refused_with_its_place() {
+fn damage_before_valid_records_is_refused_with_file_and_offset() {
     let mut storage = open(MemoryDirectory::default());
     for index in 1..=5 {
         storage.write(&entries(index..=index, 1)).expect("written");
@@ -182,7 +182,7 @@
     assert!(matches!(again, Err(StorageError::Poisoned)), "{again:?}");
 }
 
-/// Entries that fill a segment, so that the next write begins another one.
+/// Entries that fill a segment, so that the next write starts another one.
 fn long_entries(indexes: std::ops::RangeInclusive<u64>) -> Ready {
     let long = |index| Entry {
         index,
@@ -198,25 +198,25 @@
 #[rstest]
 #[case::within_a_segment(entries(1..=4, 1))]
 #[case::between_segments(long_entries(1..=4))]
-fn a_full_disk_loses_nothing_and_the_write_is_made_again(
+fn a_full_disk_loses_nothing_and_the_write_can_be_retried(
     #[case] before: Ready,
     #[values(1, 3)] refusals: usize,
     #[values(PowerLoss::DropUnsynced, PowerLoss::KeepPrefix(30))] loss: PowerLoss,
 ) {
     let mut storage = open(MemoryDirectory::default());
     storage.write(&before).expect("written");
-    let late = entries(5..=6, 2);
+    let second_write = entries(5..=6, 2);
     storage.directory_mut().full = true;
     for _ in 0..refusals {
-        let refused = storage.write(&late).expect_err("no room");
+        let refused = storage.write(&second_write).expect_err("no room");
         assert!(refused.is_full(), "{refused}");
     }
-    // The power may go while the disk is full, and what was written is there.
-    let meanwhile = storage.directory().after_power_loss(loss);
-    let (_, recovered) = ReplicaStorage::open(meanwhile).expect("sound");
+    // After a power loss while the disk is full, earlier writes are still recovered.
+    let during_full_disk = storage.directory().after_power_loss(loss);
+    let (_, recovered) = ReplicaStorage::open(during_full_disk).expect("sound");
     assert_eq!(recovered.entries.len(), 4);
     storage.directory_mut().full = false;
-    storage.write(&late).expect("room again");
+    storage.write(&second_write).expect("room again");
     storage.write(&entries(7..=7, 2)).expect("written");
     let after = storage.directory().after_power_loss(loss);
     let (_, recovered) = ReplicaStorage::open(after).expect("sound");
@@ -225,7 +225,7 @@
 }
 
 #[test]
-fn a_snapshot_that_found_no_room_is_saved_later() {
+fn a_snapshot_that_failed_on_a_full_disk_can_be_saved_later() {
     let mut storage = open(MemoryDirectory::default());
     storage.write(&long_entries(1..=2)).expect("written");
     storage.write(&long_entries(3..=4)).expect("written");
@@ -246,7 +246,7 @@
 #[rstest]
 #[case::drop(PowerLoss::DropUnsynced)]
 #[case::torn(PowerLoss::KeepPrefix(5))]
-fn a_value_is_replaced_as_a_whole_or_not_at_all(#[case] loss: PowerLoss) {
+fn a_value_is_replaced_atomically(#[case] loss: PowerLoss) {
     let mut directory = MemoryDirectory::default();
     save_value(&mut directory, "v", &1_u64).expect("saved");
     let mut later = directory.clone();
@@ -292,8 +292,8 @@
         ..ProptestConfig::with_cases(200)
     })]
 
-    /// Whatever is left of the last write, everything before it is there, and
-    /// what is there of the last write is a whole number of its entries.
+    /// Whatever part of a torn last write is left, it is dropped, all earlier writes are
+    /// recovered, and the log can be continued.
     #[test]
     fn any_torn_last_write_loses_only_itself(
         batches in prop::collection::vec(1_u64..6, 1..12),
@@ -307,7 +307,7 @@
             next += count;
         }
         let synced = next - 1;
-        // The last write is cut off before its sync: the directory refuses it.
+        // Appends the unsynced bytes of a torn last write.
         let mut torn = storage.directory().clone();
         let bytes = vec![0x47; kept];
         garnet_storage::Directory::append(&mut torn, "segment-0000000000000000", &bytes)
