--- a/components/wire/src/codec.rs
+++ b/components/wire/src/codec.rs
@@ -1,4 +1,4 @@
-//! Frames to bytes and back.
+//! Encodes and decodes frames.
 
 use asynchronous_codec::{BytesMut, Decoder, Encoder};
 use garnet_types::EncodingVersion;
@@ -9,7 +9,8 @@
 use crate::frame::Frame;
 use crate::v11;
 
-/// Longest frame, in bytes: a whole configuration of the target's size fits.
+/// Maximum length of a frame's payload. The full configuration of the largest supported
+/// system fits.
 pub const MAX_FRAME_BYTES: usize = 32 * 1024 * 1024;
 const LENGTH_BYTES: usize = 4;
 
@@ -20,26 +21,28 @@
 }
 
 impl FrameCodec {
-    /// The codec of a connection of `version`.
+    /// Creates the codec for a connection of `version`.
     pub fn new(version: EncodingVersion) -> Self {
         FrameCodec { version }
     }
 }
 
-fn encoding() -> impl bincode::config::Config {
+fn bincode_config() -> impl bincode::config::Config {
     bincode::config::standard().with_limit::<MAX_FRAME_BYTES>()
 }
 
-fn encoded<T: Serialize>(value: &T) -> Result<Vec<u8>, WireError> {
+fn encode_value<T: Serialize>(value: &T) -> Result<Vec<u8>, WireError> {
     bincode::serde::encode_to_vec(value, bincode::config::standard())
         .map_err(|error| WireError::Malformed(error.to_string()))
 }
 
-fn decoded<T: DeserializeOwned>(payload: &[u8]) -> Result<T, WireError> {
-    let (value, read) = bincode::serde::decode_from_slice(payload, encoding())
+fn decode_value<T: DeserializeOwned>(payload: &[u8]) -> Result<T, WireError> {
+    let (value, read) = bincode::serde::decode_from_slice(payload, bincode_config())
         .map_err(|error| WireError::Malformed(error.to_string()))?;
     if read != payload.len() {
-        return Err(WireError::Malformed("bytes are left over".to_owned()));
+        return Err(WireError::Malformed(
+            "bytes are left over after the value".to_owned(),
+        ));
     }
     Ok(value)
 }
@@ -48,13 +51,14 @@
     type Item<'a> = Frame;
     type Error = WireError;
 
-    /// Adds nothing for a frame that the version has no place for and does without.
+    /// Encodes a frame. Adds no bytes for one that the version lacks and that can be left
+    /// out.
     fn encode(&mut self, frame: Frame, target: &mut BytesMut) -> Result<(), WireError> {
         let payload = if self.version > EncodingVersion::V11 {
-            encoded(&frame)?
+            encode_value(&frame)?
         } else {
             match v11::Frame::of(frame)? {
-                Some(frame) => encoded(&frame)?,
+                Some(frame) => encode_value(&frame)?,
                 None => return Ok(()),
             }
         };
@@ -87,9 +91,9 @@
         let bytes = source.split_to(LENGTH_BYTES + length);
         let payload = &bytes[LENGTH_BYTES..];
         if self.version > EncodingVersion::V11 {
-            decoded(payload).map(Some)
+            decode_value(payload).map(Some)
         } else {
-            decoded::<v11::Frame>(payload).map(|frame| Some(frame.into()))
+            decode_value::<v11::Frame>(payload).map(|frame| Some(frame.into()))
         }
     }
 }
--- a/components/wire/src/error.rs
+++ b/components/wire/src/error.rs
@@ -1,4 +1,4 @@
-//! What can be wrong with a connection between processes.
+//! Errors of a connection between processes.
 
 use std::io;
 
@@ -29,7 +29,7 @@
     BelowLevel {
         /// Version of the other end.
         found: EncodingVersion,
-        /// Level of the group.
+        /// Level of the group's log.
         level: EncodingVersion,
     },
     /// the other end closed the connection instead of answering the hello
--- a/components/wire/src/frame.rs
+++ b/components/wire/src/frame.rs
@@ -1,4 +1,4 @@
-//! What is sent.
+//! The frames between processes.
 
 use garnet_consensus::Envelope;
 use garnet_control::{ControlReply, GatewayRequest, JoinRequest};
@@ -7,69 +7,69 @@
 
 use crate::error::WireError;
 
-/// Who opened a connection.
+/// The process that opened a connection.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Sender {
     /// Another replica.
     Replica {
         /// Its identity.
         id: ReplicaId,
-        /// Where it is reached: one that just joins does not know the group,
-        /// and could not answer otherwise.
+        /// Address at which it can be reached. A replica that is just joining is not in
+        /// the membership, so that its peers could not answer it otherwise.
         address: String,
     },
     /// A gateway.
     Gateway(GatewayId),
 }
 
-/// One frame. Variants are appended only; the encoding of the two that negotiate a
-/// version never changes.
+/// One frame. New variants are only appended. The encoding of `Hello` and `Welcome`, which
+/// negotiate the version, never changes.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Frame {
-    /// Opens each connection.
+    /// The first frame of each connection.
     Hello {
-        /// Version that the sender speaks.
+        /// Version that the sender supports.
         version: EncodingVersion,
-        /// Who it is.
+        /// The process that opened the connection.
         sender: Sender,
     },
-    /// Between replicas.
+    /// A consensus message between replicas.
     Peer(Envelope),
-    /// A replica asks to be a member.
+    /// A replica's request to join the group.
     Join(JoinRequest),
-    /// From a gateway.
+    /// A request from a gateway.
     Gateway(GatewayRequest),
-    /// To a gateway.
+    /// A reply to a gateway.
     Control(ControlReply),
-    /// Answers a hello of [`EncodingVersion::V17`] or later.
+    /// The answer to a hello of [`EncodingVersion::V17`] or later.
     Welcome {
-        /// Version of the connection: the lower one of both ends.
+        /// Version of the connection: the lower version of both ends.
         version: EncodingVersion,
     },
 }
 
-/// A connection that was opened by another process.
+/// The checked hello of a connection that another process opened.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct AcceptedHello {
-    /// Who opened it.
+    /// The process that opened the connection.
     pub sender: Sender,
     /// Version of the connection.
     pub version: EncodingVersion,
-    /// Whether the opener waits for a [`Frame::Welcome`].
+    /// Whether that process waits for a [`Frame::Welcome`].
     pub awaits_welcome: bool,
 }
 
 /// Checks the first frame of a connection.
 ///
 /// # Errors
-/// When it is no hello, or one of a version that is not spoken.
+/// When the frame is not a hello, or its version is not supported.
 pub fn check_hello(frame: Frame) -> Result<AcceptedHello, WireError> {
     let Frame::Hello { version, sender } = frame else {
         return Err(WireError::MissingHello);
     };
     let awaits_welcome = version >= EncodingVersion::V17;
-    let is_spoken = version == EncodingVersion::V11 || version >= EncodingVersion::V16;
-    if !is_spoken {
+    let is_supported = version == EncodingVersion::V11 || version >= EncodingVersion::V16;
+    if !is_supported {
         return Err(WireError::UnsupportedVersion {
             found: version,
             known: EncodingVersion::CURRENT,
--- a/components/wire/src/lib.rs
+++ b/components/wire/src/lib.rs
@@ -1,12 +1,12 @@
 //! The protocol between garnetcourse processes, over TCP.
 //!
-//! Contract: each frame is a length of four bytes, little-endian, and a value
+//! Contract: each frame is a length of four bytes, little-endian, followed by a value
 //! encoded by `bincode`. The first frame of a connection is [`Frame::Hello`] with the
-//! version that its sender speaks. A version of [`EncodingVersion::V17`] or later is
-//! answered with [`Frame::Welcome`] and the lower version of both ends; frames of version
-//! 16 are encoded as the present ones, those of version 11 are converted. Any other
-//! version ends the connection with a clear error. A frame that is too long, truncated or
-//! malformed ends its connection and nothing else.
+//! version that its sender supports. A version of [`EncodingVersion::V17`] or later is
+//! answered with [`Frame::Welcome`] and the lower version of both ends. Frames of version
+//! 16 are encoded as those of the current version; frames of version 11 are converted.
+//! Any other version ends the connection with an error that names both versions. A frame
+//! that is too long, truncated or malformed ends only its own connection.
 //!
 //! [`EncodingVersion::V17`]: garnet_types::EncodingVersion::V17
 
--- a/components/wire/src/v11.rs
+++ b/components/wire/src/v11.rs
@@ -21,10 +21,11 @@
 }
 
 impl Frame {
-    /// The frame, or `None` where version 11 has no such frame and does without it.
+    /// Converts a frame, or returns `None` for one that version 11 lacks and that can be
+    /// left out.
     ///
     /// # Errors
-    /// When it holds a configuration that version 11 can't follow.
+    /// When the frame holds a configuration that version 11 can't represent.
     pub(crate) fn of(frame: CurrentFrame) -> Result<Option<Self>, WireError> {
         Ok(match frame {
             CurrentFrame::Hello { version, sender } => Some(Frame::Hello { version, sender }),
--- a/components/wire/tests/frames.rs
+++ b/components/wire/tests/frames.rs
@@ -1,4 +1,5 @@
-//! Frames from strangers: another version, too long, cut off, random bytes.
+//! Decoding of valid and invalid frames: another version, too long, truncated, trailing or
+//! random bytes.
 
 use asynchronous_codec::{BytesMut, Decoder, Encoder};
 use garnet_control::{Configuration, ControlReply, GatewayRequest, UsageCount, UsageReport};
@@ -33,7 +34,7 @@
     }))
 }
 
-fn whole_configuration() -> Frame {
+fn full_configuration() -> Frame {
     Frame::Control(ControlReply::NotLeader {
         leader: None,
         last_known: Some(Configuration::default().into()),
@@ -42,8 +43,8 @@
 
 #[rstest]
 #[case::usage(usage())]
-#[case::whole_configuration(whole_configuration())]
-fn a_frame_comes_out_as_it_went_in(#[case] frame: Frame) {
+#[case::full_configuration(full_configuration())]
+fn an_encoded_frame_decodes_to_itself(#[case] frame: Frame) {
     let mut bytes = encoded(frame.clone());
     assert_eq!(decode(&mut bytes).expect("sound"), Some(frame));
     assert!(bytes.is_empty());
@@ -64,7 +65,7 @@
 }
 
 #[test]
-fn a_frame_that_comes_byte_by_byte_is_whole_at_its_last_byte() {
+fn a_frame_received_byte_by_byte_is_decoded_at_its_last_byte() {
     let bytes = encoded(watch(3));
     let mut received = BytesMut::new();
     for (position, byte) in bytes.iter().enumerate() {
@@ -75,7 +76,7 @@
 }
 
 #[test]
-fn two_frames_in_one_piece_come_out_in_order() {
+fn two_frames_received_at_once_are_decoded_in_order() {
     let mut bytes = encoded(watch(1));
     bytes.extend_from_slice(&encoded(watch(2)));
     assert_eq!(decode(&mut bytes).expect("sound"), Some(watch(1)));
@@ -84,14 +85,14 @@
 }
 
 #[test]
-fn a_length_beyond_the_limit_is_refused_before_anything_is_stored() {
+fn a_length_above_the_limit_is_refused_before_the_payload_is_buffered() {
     let mut bytes = BytesMut::new();
     bytes.extend_from_slice(&(MAX_FRAME_BYTES as u32 + 1).to_le_bytes());
     assert!(matches!(decode(&mut bytes), Err(WireError::TooLong(_))));
 }
 
 #[test]
-fn bytes_left_over_in_a_frame_are_refused() {
+fn trailing_bytes_in_a_frame_are_refused() {
     let mut payload = encoded(watch(1)).split_off(4);
     payload.extend_from_slice(&[0]);
     let mut bytes = BytesMut::new();
@@ -100,8 +101,8 @@
     assert!(matches!(decode(&mut bytes), Err(WireError::Malformed(_))));
 }
 
-/// The version of the connection and whether its opener waits for a welcome; `None` where
-/// the hello is refused.
+/// `expected` is the version of the connection and whether its opener waits for a welcome,
+/// or `None` where the hello is refused.
 #[rstest]
 #[case(0, None)]
 #[case(10, None)]
@@ -111,7 +112,7 @@
 #[case(16, Some((16, false)))]
 #[case(17, Some((17, true)))]
 #[case(18, Some((17, true)))]
-fn a_hello_opens_a_connection_of_a_version_that_both_ends_speak(
+fn a_hello_opens_a_connection_of_a_version_that_both_ends_support(
     #[case] version: u32,
     #[case] expected: Option<(u32, bool)>,
 ) {
@@ -149,7 +150,7 @@
     })]
 
     #[test]
-    fn random_bytes_are_an_error_or_incomplete_and_never_a_panic(
+    fn random_bytes_never_panic(
         bytes in prop::collection::vec(any::<u8>(), 0..300),
     ) {
         let mut bytes = BytesMut::from(&bytes[..]);
--- a/components/wire/tests/upgrade/coverage.rs
+++ b/components/wire/tests/upgrade/coverage.rs
@@ -1,5 +1,6 @@
-//! Each variant of what is encoded has a sample: a new one does not compile here, and has
-//! no recorded bytes until it is added to the samples.
+//! Checks that each variant of the encoded types has a sample with recorded bytes. A new
+//! variant does not compile here until it gets a number, and then fails the tests until it
+//! is added to the samples.
 
 use std::collections::BTreeSet;
 
@@ -126,7 +127,7 @@
     }
 }
 
-/// Which variants the samples have.
+/// The variants that occur in the samples.
 #[derive(Default)]
 struct Covered {
     changes: BTreeSet<usize>,
@@ -139,7 +140,7 @@
 }
 
 impl Covered {
-    fn note(&mut self, frame: &Frame) {
+    fn add_frame(&mut self, frame: &Frame) {
         match frame {
             Frame::Hello { .. } | Frame::Welcome { .. } | Frame::Join(_) => {}
             Frame::Peer(envelope) => {
@@ -152,11 +153,11 @@
             Frame::Gateway(request) => {
                 self.requests.insert(request_number(request));
             }
-            Frame::Control(reply) => self.note_reply(reply),
+            Frame::Control(reply) => self.add_reply(reply),
         }
     }
 
-    fn note_reply(&mut self, reply: &ControlReply) {
+    fn add_reply(&mut self, reply: &ControlReply) {
         self.replies.insert(reply_number(reply));
         if let ControlReply::Claim { answer, .. } = reply {
             self.answers.insert(answer_number(answer));
@@ -175,7 +176,7 @@
 fn each_command_has_recorded_bytes() {
     let all = samples::commands()
         .into_iter()
-        .chain(samples::later_commands())
+        .chain(samples::commands_since_16())
         .chain(samples::commands_since_17());
     let covered: BTreeSet<usize> = all.map(|(_, command)| command_number(&command)).collect();
     assert_eq!(covered, (0..28).collect());
@@ -186,9 +187,9 @@
     let mut covered = Covered::default();
     let all = samples::frames(EncodingVersion::CURRENT)
         .into_iter()
-        .chain(samples::later_frames())
+        .chain(samples::frames_since_16())
         .chain(samples::frames_since_17());
-    all.for_each(|(_, frame)| covered.note(&frame));
+    all.for_each(|(_, frame)| covered.add_frame(&frame));
     assert_eq!(covered.changes, (0..9).collect());
     assert_eq!(covered.updates, (0..5).collect());
     assert_eq!(covered.replies, (0..8).collect());
--- a/components/wire/tests/upgrade/disks.rs
+++ b/components/wire/tests/upgrade/disks.rs
@@ -1,4 +1,4 @@
-//! What is on a disk of an earlier build stands after the upgrade.
+//! Data folders that earlier builds wrote are recovered after an upgrade.
 
 use garnet_consensus::{Config, Member, Membership, Restored};
 use garnet_control::{
@@ -16,10 +16,10 @@
 use crate::samples;
 
 const TICK: Millis = Millis(20);
-/// Ticks within which the only voter leads.
+/// Ticks within which the only voter becomes leader.
 const TICKS_TO_LEAD: u64 = 200;
 
-/// The only voter of a group, started from a disk.
+/// A replica that is the only voter of its group, started from a disk.
 struct Single {
     replica: Replica,
     storage: ReplicaStorage<MemoryDirectory>,
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Carries out a command of an operator, which must be accepted.
+    /// Runs an operator's command, which must be accepted.
     fn command(&mut self, command: Command) {
         let envelope = CommandEnvelope {
             command_id: Some(CommandId::new(format!("operator-1.{}", self.now.0))),
@@ -128,9 +128,10 @@
     state.clone().apply(1_000, 50, &envelope).answer
 }
 
-/// A replica that skips what an earlier build wrote forgets routes, claims and orders that were acknowledged.
+/// A replica that skipped what an earlier build wrote would lose routes, claims and orders
+/// that were acknowledged.
 #[rstest]
-fn what_an_earlier_build_acknowledged_is_there_after_the_upgrade(
+fn state_acknowledged_by_an_earlier_build_survives_the_upgrade(
     #[values(11, 12, 15, 16, 17)] protocol: u32,
     #[values("log.folder.hex", "snapshot.folder.hex")] file: &str,
 ) {
@@ -165,9 +166,10 @@
     assert_eq!(answer_to_claim(state, "released"), granted);
 }
 
-/// A snapshot of the level, written by this build, is the one that the level's builds wrote.
+/// A snapshot that this build writes at a level has the same bytes as one written by a
+/// build of that level.
 #[rstest]
-fn a_snapshot_is_written_as_its_version_recorded_it(#[values(11, 16, 17)] protocol: u32) {
+fn a_snapshot_is_encoded_as_recorded_for_its_version(#[values(11, 16, 17)] protocol: u32) {
     let directory = folder(protocol, "snapshot.folder.hex");
     let (_, recovered) = ReplicaStorage::open(directory).expect("a sound disk");
     let snapshot = recovered.snapshot.expect("a snapshot");
@@ -175,8 +177,9 @@
     assert_eq!(state.encode().expect("its own format"), *snapshot.data);
 }
 
-/// Writes the folders of the present version where they are missing and that is asked for.
-fn record_present() {
+/// Records the folders of the current version if they are missing and `RECORD_ENCODINGS` is
+/// set.
+fn record_current() {
     for (file, snapshot_every) in [("log.folder.hex", 1000), ("snapshot.folder.hex", 20)] {
         let mut single = Single::start_with(MemoryDirectory::default(), snapshot_every);
         samples::acknowledged_commands()
@@ -194,8 +197,8 @@
 }
 
 #[test]
-fn the_present_version_has_recorded_folders() {
-    record_present();
+fn the_current_version_has_recorded_folders() {
+    record_current();
     for file in ["log.folder.hex", "snapshot.folder.hex"] {
         assert!(!lines(EncodingVersion::CURRENT.0, file).is_empty());
     }
--- a/components/wire/tests/upgrade/encodings.rs
+++ b/components/wire/tests/upgrade/encodings.rs
@@ -1,9 +1,9 @@
-//! Encodings of each version, byte by byte.
+//! Compares the encodings of each version with recorded bytes.
 //!
-//! A failure here is a changed encoding: it needs a new version, with the former one kept
-//! as a module of its own (docs/design/encoding-versions.md). Files of a version that has
-//! landed are never written anew; those of a new one are written by this test with
-//! `RECORD_ENCODINGS=1` where they are missing.
+//! A failure here means that an encoding changed. Such a change needs a new version, and
+//! the previous encoding is kept in its own module (docs/design/encoding-versions.md).
+//! Recorded files of a released version are never rewritten. Missing files of a new
+//! version are written by this test with `RECORD_ENCODINGS=1`.
 
 use asynchronous_codec::{BytesMut, Decoder, Encoder};
 use garnet_control::{Command, CommandEnvelope, LogEncoding, encode_entry};
@@ -26,7 +26,7 @@
 fn commands(version: EncodingVersion) -> Vec<(&'static str, Command)> {
     let mut commands = samples::commands();
     if version >= EncodingVersion::V16 {
-        commands.extend(samples::later_commands());
+        commands.extend(samples::commands_since_16());
     }
     if version >= EncodingVersion::V17 {
         commands.extend(samples::commands_since_17());
@@ -37,7 +37,7 @@
 fn frames(version: EncodingVersion) -> Vec<(&'static str, Frame)> {
     let mut frames = samples::frames(version);
     if version >= EncodingVersion::V16 {
-        frames.extend(samples::later_frames());
+        frames.extend(samples::frames_since_16());
     }
     if version >= EncodingVersion::V17 {
         frames.extend(samples::frames_since_17());
@@ -52,9 +52,10 @@
     bytes.to_vec()
 }
 
-/// A log entry that is encoded otherwise than its version says is another command to the other members.
+/// A log entry whose encoding differs from its version would be another command to the
+/// other members.
 #[rstest]
-fn an_entry_is_encoded_as_its_version_recorded_it(#[values(11, 16, 17)] version: u32) {
+fn an_entry_is_encoded_as_recorded_for_its_version(#[values(11, 16, 17)] version: u32) {
     let version = EncodingVersion(version);
     let entry = |(name, command): (&'static str, Command)| {
         let bytes = encode_entry(&envelope(command), version).expect("a command of the version");
@@ -70,10 +71,11 @@
 }
 
 #[rstest]
-fn a_recorded_entry_is_read_as_what_it_was(#[values(11, 16, 17)] version: u32) {
+fn a_recorded_entry_decodes_to_its_sample(#[values(11, 16, 17)] version: u32) {
     let version = EncodingVersion(version);
     let recorded = lines(version.0, "commands.hex");
-    // An entry that only this version can have written goes before.
+    // The first entry decoded tells the decoder the version: only that version can have
+    // written it.
     let mut encoding = LogEncoding::default();
     encoding
         .decode(&recorded["put_backend"])
@@ -81,7 +83,7 @@
     for (name, command) in commands(version) {
         let mut expected = envelope(command);
         if version == EncodingVersion::V11 {
-            without_start(&mut expected.command);
+            clear_start(&mut expected.command);
         }
         let decoded = encoding.decode(&recorded[name]).expect("a known entry");
         assert_eq!(decoded.version, version, "{name}");
@@ -89,15 +91,16 @@
     }
 }
 
-fn without_start(command: &mut Command) {
+fn clear_start(command: &mut Command) {
     if let Command::PutBackend(registration) = command {
         registration.start = 0;
     }
 }
 
-/// A frame that is encoded otherwise than its version says ends the connection to the other build.
+/// A frame whose encoding differs from its version would end the connection to a process
+/// of another build.
 #[rstest]
-fn a_frame_is_encoded_as_its_version_recorded_it(#[values(11, 16, 17)] version: u32) {
+fn a_frame_is_encoded_as_recorded_for_its_version(#[values(11, 16, 17)] version: u32) {
     let version = EncodingVersion(version);
     let frame = |(name, frame): (&'static str, Frame)| (name.to_owned(), encoded(frame, version));
     let encodings: Vec<_> = frames(version).into_iter().map(frame).collect();
@@ -110,7 +113,7 @@
 }
 
 #[rstest]
-fn a_recorded_frame_is_read_as_what_it_was(#[values(11, 16, 17)] version: u32) {
+fn a_recorded_frame_decodes_to_its_sample(#[values(11, 16, 17)] version: u32) {
     let version = EncodingVersion(version);
     let recorded = lines(version.0, "frames.hex");
     for (name, frame) in frames(version) {
@@ -121,10 +124,11 @@
     }
 }
 
-/// What version 11 has no place for is not sent to it, or the connection ends.
+/// Frames that version 11 can't represent are left out, or encoding them fails and the
+/// connection ends.
 #[test]
-fn a_process_of_version_11_is_sent_nothing_that_it_cannot_read() {
-    let later = samples::later_frames().into_iter();
+fn version_11_encodes_no_frame_that_it_cannot_decode() {
+    let later = samples::frames_since_16().into_iter();
     for (name, frame) in later.chain(samples::frames_since_17()) {
         let mut bytes = BytesMut::new();
         let result = FrameCodec::new(EncodingVersion::V11).encode(frame, &mut bytes);
@@ -132,11 +136,11 @@
             "control_suspects" => {
                 result.expect("a watch without its suspects");
                 let decoded = FrameCodec::new(EncodingVersion::V11).decode(&mut bytes);
-                let (_, plain) = samples::frames(EncodingVersion::V11)
+                let (_, without_suspects) = samples::frames(EncodingVersion::V11)
                     .into_iter()
                     .find(|(name, _)| *name == "control_current")
                     .expect("a sample");
-                assert_eq!(decoded.expect("a sound frame"), Some(plain));
+                assert_eq!(decoded.expect("a sound frame"), Some(without_suspects));
             }
             "control_whole_changes" => assert!(result.is_err(), "{name}"),
             _ => {
--- a/components/wire/tests/upgrade/hello.rs
+++ b/components/wire/tests/upgrade/hello.rs
@@ -1,4 +1,4 @@
-//! Connections of earlier builds.
+//! Hellos of earlier builds.
 
 use asynchronous_codec::{BytesMut, Decoder};
 use garnet_types::EncodingVersion;
@@ -7,9 +7,10 @@
 
 use crate::recorded::lines;
 
-/// Builds that refuse each other's hello split the group and its gateways in two.
+/// If builds refused each other's hello, an upgrade would split the group and its gateways
+/// in two.
 #[rstest]
-fn a_process_of_an_earlier_build_is_taken(
+fn a_hello_of_an_earlier_build_is_accepted(
     #[values(11, 16)] protocol: u32,
     #[values("hello_replica", "hello_gateway")] name: &str,
 ) {
--- a/components/wire/tests/upgrade/main.rs
+++ b/components/wire/tests/upgrade/main.rs
@@ -1,4 +1,5 @@
-//! Disks and connections of earlier builds, by what those builds wrote.
+//! Compatibility with data folders and connections of earlier builds, tested with the
+//! bytes that those builds wrote.
 
 mod coverage;
 mod disks;
--- a/components/wire/tests/upgrade/recorded.rs
+++ b/components/wire/tests/upgrade/recorded.rs
@@ -1,4 +1,4 @@
-//! Reads the recorded files.
+//! Reads and writes the files of recorded bytes.
 
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -6,7 +6,7 @@
 
 use garnet_storage::{Directory, MemoryDirectory};
 
-/// Where a recorded file stands.
+/// The path of a recorded file.
 fn path(protocol: u32, file: &str) -> PathBuf {
     let root = PathBuf::from(env!("CARGO_MANIFEST_DIR"));
     root.join(format!("tests/recorded/protocol-{protocol}/{file}"))
@@ -17,12 +17,12 @@
     let text = std::fs::read_to_string(path(protocol, file)).expect("a recorded file");
     let line = |line: &str| {
         let (name, digits) = line.split_once(' ').expect("a name and digits");
-        (name.to_owned(), bytes_of(digits))
+        (name.to_owned(), decode_hex(digits))
     };
     text.lines().map(line).collect()
 }
 
-/// Writes a file that is not there yet, where that is asked for.
+/// Writes a recorded file if it does not exist and `RECORD_ENCODINGS` is set.
 pub fn record(protocol: u32, file: &str, lines: &[(String, Vec<u8>)]) {
     let path = path(protocol, file);
     if path.exists() || std::env::var_os("RECORD_ENCODINGS").is_none() {
@@ -37,14 +37,14 @@
     std::fs::write(path, text).expect("a new file");
 }
 
-fn bytes_of(digits: &str) -> Vec<u8> {
+fn decode_hex(digits: &str) -> Vec<u8> {
     let pairs = (0..digits.len()).step_by(2);
     pairs
         .map(|at| u8::from_str_radix(&digits[at..at + 2], 16).expect("hexadecimal digits"))
         .collect()
 }
 
-/// A recorded data folder as a disk.
+/// Loads a recorded data folder into memory.
 pub fn folder(protocol: u32, file: &str) -> MemoryDirectory {
     let mut directory = MemoryDirectory::default();
     for (name, bytes) in lines(protocol, file) {
--- a/components/wire/tests/upgrade/samples/commands.rs
+++ b/components/wire/tests/upgrade/samples/commands.rs
@@ -1,4 +1,4 @@
-//! Commands of the log.
+//! Samples of the log's commands.
 
 use std::sync::Arc;
 
@@ -8,6 +8,7 @@
 
 use super::values::*;
 
+/// Commands that are recorded for each version.
 pub fn commands() -> Vec<(&'static str, Command)> {
     let engine = || BackendId::new("engine-1");
     let fence = Fence { term: 3, index: 44 };
@@ -86,8 +87,9 @@
     ]
 }
 
-pub fn later_commands() -> Vec<(&'static str, Command)> {
-    let note = MachineUpdate {
+/// Commands that are recorded from version 16 on.
+pub fn commands_since_16() -> Vec<(&'static str, Command)> {
+    let update = MachineUpdate {
         registration: registration("app-1", BackendKind::Application),
         state: MachineState::Live,
         observed: Some(observation(EngineRole::Decode)),
@@ -132,14 +134,14 @@
                 engines: Vec::new(),
             }]),
         ),
-        ("note_machines", Command::NoteMachines(vec![note])),
+        ("note_machines", Command::NoteMachines(vec![update])),
         (
             "forget_machines",
             Command::ForgetMachines(vec![BackendId::new("engine-1")]),
         ),
     ]
 }
-/// Commands that were recorded from version 17 on.
+/// Commands that are recorded from version 17 on.
 pub fn commands_since_17() -> Vec<(&'static str, Command)> {
     let suspects = vec![SuspectedRequest {
         fingerprint: fingerprint(),
@@ -149,7 +151,7 @@
         (
             "put_whole_routes",
             Command::PutRoutes {
-                table: Arc::new(whole_table()),
+                table: Arc::new(full_table()),
                 document: document(9),
             },
         ),
@@ -187,7 +189,7 @@
 role_change_price = 40.0
 "#;
 
-/// What the folders hold, in order.
+/// The commands in the logs of the recorded folders, in order.
 pub fn acknowledged_commands() -> Vec<Command> {
     let mut all = Vec::new();
     let e = |n: u32| BackendId::new(format!("engine-{n}"));
--- a/components/wire/tests/upgrade/samples/frames.rs
+++ b/components/wire/tests/upgrade/samples/frames.rs
@@ -1,4 +1,4 @@
-//! Frames.
+//! Samples of frames.
 
 use std::sync::Arc;
 
@@ -13,7 +13,8 @@
 
 use super::values::*;
 
-pub fn later_frames() -> Vec<(&'static str, Frame)> {
+/// Frames that are recorded from version 16 on.
+pub fn frames_since_16() -> Vec<(&'static str, Frame)> {
     let report = UsageReport {
         gateway: GatewayId::new("gateway-1"),
         number: 3,
@@ -146,6 +147,7 @@
         message,
     })
 }
+/// Frames that are recorded for each version.
 pub fn frames(version: EncodingVersion) -> Vec<(&'static str, Frame)> {
     vec![
         (
@@ -364,13 +366,13 @@
     ]
 }
 
-fn whole_changes() -> Vec<(u64, ConfigurationChange)> {
+fn full_changes() -> Vec<(u64, ConfigurationChange)> {
     let record = QuarantineRecord {
         crashes: 3,
         until: Millis(99_000),
     };
     let mut changes = changes();
-    changes.push((47, ConfigurationChange::RoutesPut(Arc::new(whole_table()))));
+    changes.push((47, ConfigurationChange::RoutesPut(Arc::new(full_table()))));
     changes.push((
         48,
         ConfigurationChange::RequestQuarantined(fingerprint(), record),
@@ -379,7 +381,7 @@
     changes
 }
 
-/// Frames that were recorded from version 17 on.
+/// Frames that are recorded from version 17 on.
 pub fn frames_since_17() -> Vec<(&'static str, Frame)> {
     let runs = vec![
         EndedRun {
@@ -405,7 +407,7 @@
         number: 4,
         reports: vec![limit_report],
     };
-    let ask = PermitRequest {
+    let permit_request = PermitRequest {
         number: 6,
         backends: vec![engine()],
         priority: 1,
@@ -463,14 +465,14 @@
         ),
         (
             "gateway_permit",
-            Frame::Gateway(GatewayRequest::Permit(ask)),
+            Frame::Gateway(GatewayRequest::Permit(permit_request)),
         ),
         (
             "control_whole_changes",
             watch_reply(WatchUpdate::Changes {
                 from: 39,
                 to: 49,
-                changes: whole_changes().into(),
+                changes: full_changes().into(),
             }),
         ),
         ("control_suspects", with_suspects),
--- a/components/wire/tests/upgrade/samples/values.rs
+++ b/components/wire/tests/upgrade/samples/values.rs
@@ -1,4 +1,4 @@
-//! Parts of commands and frames.
+//! Values that occur in the samples of commands and frames.
 
 use std::sync::Arc;
 
@@ -181,8 +181,8 @@
         .collect(),
     }
 }
-/// A table with all that version 11 has no place for.
-pub(super) fn whole_table() -> RouteTable {
+/// A route table with all the fields that version 11 lacks.
+pub(super) fn full_table() -> RouteTable {
     let mut table = table(9);
     table.routes[0].public = true;
     table.services[0].buying = Some(BuyingTerms {
