--- a/components/supervisor/src/lib.rs
+++ b/components/supervisor/src/lib.rs
@@ -1,14 +1,14 @@
 //! A supervisor tree for tasks on one thread.
 //!
-//! Contract: a [`Supervisor`] starts its children in order and watches them. A
-//! child that fails is restarted by its [`Restart`] rule and the supervisor's
-//! [`Strategy`]; more restarts than the [`Intensity`] allows make the
-//! supervisor itself fail, which its own parent sees. A planned stop runs
-//! through the children in the reverse order: each gets its [`StopSignal`] and
-//! is waited for. A supervisor is run as a future, so that a tree is built by
-//! making one supervisor the child of another.
+//! Contract: a [`Supervisor`] starts its children in order and monitors them. A
+//! child that fails is restarted according to its [`Restart`] rule and the
+//! supervisor's [`Strategy`]. More restarts than the [`Intensity`] allows make the
+//! supervisor itself fail, which its parent handles. A planned stop goes through
+//! the children in reverse order: each receives its [`StopSignal`] and is awaited.
+//! A supervisor runs as a future, so a tree is built by making one supervisor the
+//! child of another.
 //!
-//! Source: the supervision principles of Erlang/OTP.
+//! The design follows the supervision principles of Erlang/OTP.
 
 mod stop;
 mod supervisor;
--- a/components/supervisor/src/stop.rs
+++ b/components/supervisor/src/stop.rs
@@ -2,26 +2,26 @@
 
 use smol::channel::{Receiver, Sender, bounded};
 
-/// Tells a task to finish what it has and end. Clones wait for the same stop.
+/// Signals a task to finish its work and end. Clones share the same signal.
 #[derive(Debug, Clone)]
 pub struct StopSignal {
     receiver: Receiver<()>,
 }
 
-/// Gives the signal, by [`StopHandle::stop`] or by being dropped.
+/// Sends the signal, on [`StopHandle::stop`] or when dropped.
 #[derive(Debug)]
 pub struct StopHandle {
     sender: Sender<()>,
 }
 
-/// A handle and the signal that it gives.
+/// Creates a handle and the signal that it sends.
 pub fn stop_channel() -> (StopHandle, StopSignal) {
     let (sender, receiver) = bounded(1);
     (StopHandle { sender }, StopSignal { receiver })
 }
 
 impl StopHandle {
-    /// Gives the signal.
+    /// Sends the signal.
     pub fn stop(&self) {
         self.sender.close();
     }
@@ -30,11 +30,11 @@
 impl StopSignal {
     /// Waits for the signal.
     pub async fn stopped(&self) {
-        // Nothing is ever sent: the channel only closes.
+        // No value is ever sent; `recv` returns when the channel is closed.
         let _closed = self.receiver.recv().await;
     }
 
-    /// Whether the signal was given.
+    /// Whether the signal was sent.
     pub fn is_stopped(&self) -> bool {
         self.receiver.is_closed()
     }
--- a/components/supervisor/src/supervisor.rs
+++ b/components/supervisor/src/supervisor.rs
@@ -1,4 +1,4 @@
-//! Children, their restarts and their ordered stop.
+//! Starting, restarting and stopping children in order.
 
 use std::collections::VecDeque;
 use std::future::Future;
@@ -14,7 +14,7 @@
 
 use crate::stop::{StopHandle, StopSignal, stop_channel};
 
-/// Why a child ended without being asked to.
+/// Why a child failed.
 #[derive(Debug, Display, Error)]
 pub enum ChildError {
     /// {0}
@@ -22,57 +22,57 @@
 }
 
 impl ChildError {
-    /// A failure with its cause as text.
+    /// Creates a failure with its cause as text.
     pub fn new(cause: impl std::fmt::Display) -> Self {
         ChildError::Failed(cause.to_string())
     }
 }
 
-/// Why a supervisor gave up.
+/// Why a supervisor failed.
 #[derive(Debug, Display, Error)]
 pub enum SupervisorError {
     /// child {name} failed too often, last with: {cause}
     TooManyRestarts {
-        /// The child.
+        /// Name of the child.
         name: &'static str,
         /// Its last failure.
         cause: String,
     },
     /// child {name} failed and may not be restarted: {cause}
     ChildFailed {
-        /// The child.
+        /// Name of the child.
         name: &'static str,
         /// Its failure.
         cause: String,
     },
 }
 
-/// When a child is started again.
+/// When a child is restarted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Restart {
     /// Whenever it ends.
     Permanent,
     /// When it fails.
     Transient,
-    /// Never: its failure is the supervisor's failure.
+    /// Never: its failure makes the supervisor fail.
     Essential,
 }
 
-/// Which children are restarted with one that failed.
+/// Which children are restarted when one fails.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Strategy {
-    /// Only that one.
+    /// Only the failed child.
     OneForOne,
-    /// That one and those started after it.
+    /// The failed child and those started after it.
     RestForOne,
 }
 
-/// How many restarts a supervisor bears.
+/// How many restarts a supervisor allows before it fails.
 #[derive(Debug, Clone, Copy)]
 pub struct Intensity {
-    /// Most restarts.
+    /// Maximum number of restarts.
     pub restarts: usize,
-    /// Within this time.
+    /// Period within which the restarts are counted.
     pub within: Duration,
 }
 
@@ -87,7 +87,7 @@
 
 type ChildFuture = Pin<Box<dyn Future<Output = Result<(), ChildError>>>>;
 
-/// How a child is started.
+/// Describes a child and how it is started.
 pub struct ChildSpec {
     name: &'static str,
     restart: Restart,
@@ -95,7 +95,7 @@
 }
 
 impl ChildSpec {
-    /// A child that is started by `start`, again for each restart.
+    /// Creates the description of a child. `start` is called at each start and restart.
     pub fn new<F>(
         name: &'static str,
         restart: Restart,
@@ -112,32 +112,32 @@
     }
 }
 
-struct Running {
+struct RunningChild {
     task: Task<()>,
     stop: StopHandle,
     generation: u64,
 }
 
-struct Ended {
+struct ChildExit {
     position: usize,
     generation: u64,
     result: Result<(), ChildError>,
 }
 
-/// Starts children and watches them.
+/// Starts children and monitors them.
 pub struct Supervisor {
     executor: Rc<LocalExecutor<'static>>,
     strategy: Strategy,
     intensity: Intensity,
     specs: Vec<ChildSpec>,
-    running: Vec<Option<Running>>,
+    running: Vec<Option<RunningChild>>,
     restarts: VecDeque<Instant>,
     generation: u64,
-    ended: (Sender<Ended>, Receiver<Ended>),
+    exits: (Sender<ChildExit>, Receiver<ChildExit>),
 }
 
 impl Supervisor {
-    /// A supervisor without children.
+    /// Creates a supervisor without children.
     pub fn new(
         executor: Rc<LocalExecutor<'static>>,
         strategy: Strategy,
@@ -151,18 +151,18 @@
             running: Vec::new(),
             restarts: VecDeque::new(),
             generation: 0,
-            ended: unbounded(),
+            exits: unbounded(),
         }
     }
 
-    /// Adds a child, to be started after those added before.
+    /// Adds a child, which is started after those added earlier.
     #[must_use]
     pub fn child(mut self, spec: ChildSpec) -> Self {
         self.specs.push(spec);
         self
     }
 
-    /// Runs until the planned stop, or until a failure is too much.
+    /// Runs until the planned stop, or until a failure that is not handled by a restart.
     ///
     /// # Errors
     /// When a child may not be restarted, or was restarted too often. The
@@ -172,31 +172,31 @@
         for position in 0..self.specs.len() {
             self.start(position);
         }
-        let outcome = self.watch(&stop).await;
+        let outcome = self.monitor(&stop).await;
         self.stop_from(0).await;
         outcome
     }
 
-    async fn watch(&mut self, stop: &StopSignal) -> Result<(), SupervisorError> {
-        let ended = self.ended.1.clone();
+    async fn monitor(&mut self, stop: &StopSignal) -> Result<(), SupervisorError> {
+        let exits = self.exits.1.clone();
         loop {
-            let next = async { ended.recv().await.ok() };
+            let next = async { exits.recv().await.ok() };
             let stopped = async {
                 stop.stopped().await;
                 None
             };
             match smol::future::or(stopped, next).await {
-                Some(ended) => self.handle_end(ended).await?,
+                Some(ended) => self.handle_exit(ended).await?,
                 None => return Ok(()),
             }
         }
     }
 
-    async fn handle_end(&mut self, ended: Ended) -> Result<(), SupervisorError> {
-        let current = self.running[ended.position]
+    async fn handle_exit(&mut self, ended: ChildExit) -> Result<(), SupervisorError> {
+        let is_current = self.running[ended.position]
             .as_ref()
             .is_some_and(|running| running.generation == ended.generation);
-        if !current {
+        if !is_current {
             return Ok(());
         }
         self.running[ended.position] = None;
@@ -243,25 +243,25 @@
         let generation = self.generation;
         let (stop, signal) = stop_channel();
         let child = (self.specs[position].start)(signal);
-        let sender = self.ended.0.clone();
+        let sender = self.exits.0.clone();
         let task = self.executor.spawn(async move {
             let result = child.await;
-            let ended = Ended {
+            let ended = ChildExit {
                 position,
                 generation,
                 result,
             };
-            // The supervisor may be gone already.
-            let _unheard = sender.try_send(ended);
+            // The send fails only when the supervisor was dropped already.
+            let _receiver_closed = sender.try_send(ended);
         });
-        self.running[position] = Some(Running {
+        self.running[position] = Some(RunningChild {
             task,
             stop,
             generation,
         });
     }
 
-    /// Stops the children from `first` on, the last one first.
+    /// Stops the children from position `first` on, in reverse order.
     async fn stop_from(&mut self, first: usize) {
         for position in (first..self.running.len()).rev() {
             if let Some(running) = self.running[position].take() {
