--- a/components/control-shell/src/connections.rs
+++ b/components/control-shell/src/connections.rs
@@ -17,22 +17,23 @@
 
 use crate::peer_link::{self, Peer};
 
-/// Frames that wait for one connection; more are dropped, which the protocol
-/// bears like any loss.
-const QUEUED_FRAMES: usize = 1024;
-/// Pause after a connection that could not be taken.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
-/// Longest wait for an operator's answer: a change may wait for all gateways.
-const OPERATOR_PATIENCE: Duration = Duration::from_secs(40);
+/// Frames that may wait for one connection. Further ones are dropped, which the protocol
+/// tolerates like any other loss.
+const MAX_QUEUED_FRAMES: usize = 1024;
+/// Delay after a connection could not be accepted.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
+/// How long an operator's request waits for its answer. It is long because a change may
+/// wait for all gateways.
+const OPERATOR_TIMEOUT: Duration = Duration::from_secs(40);
 
 #[derive(Default)]
-struct Open {
+struct OpenConnections {
     peers: HashMap<String, Sender<Frame>>,
-    /// Addresses that replicas told when they connected.
-    told: HashMap<ReplicaId, String>,
+    /// Addresses that replicas reported when they connected.
+    reported_addresses: HashMap<ReplicaId, String>,
     gateways: HashMap<u64, Sender<Frame>>,
     operators: HashMap<u64, Sender<OperatorAnswer>>,
-    next: u64,
+    last_id: u64,
 }
 
 /// All connections of the process.
@@ -42,9 +43,9 @@
     address: String,
     executor: Rc<LocalExecutor<'static>>,
     events: Sender<Event>,
-    open: Rc<RefCell<Open>>,
-    /// Lowest version that may be spoken with other replicas: the level of the log.
-    lowest: Rc<Cell<EncodingVersion>>,
+    open: Rc<RefCell<OpenConnections>>,
+    /// Lowest version that may be used with other replicas: the level of the log.
+    min_version: Rc<Cell<EncodingVersion>>,
 }
 
 impl Connections {
@@ -60,30 +61,36 @@
             executor,
             events,
             open: Rc::default(),
-            lowest: Rc::default(),
+            min_version: Rc::default(),
         }
     }
 
     // ---- Peers ----
 
-    /// Notes the level of the log.
-    pub(crate) fn set_lowest_version(&self, version: EncodingVersion) {
-        self.lowest.set(version);
+    /// Sets the lowest version that may be used with other replicas.
+    pub(crate) fn set_min_version(&self, version: EncodingVersion) {
+        self.min_version.set(version);
     }
 
-    /// Queues a message for a peer, at the address that the group knows or that
-    /// the peer told itself. Without an address, or when the queue is full, it
-    /// is lost.
+    /// Queues a message for a peer, at its address in the membership or else at the
+    /// one that the peer reported itself. Without an address, or when the queue is
+    /// full, the message is dropped.
     pub(crate) fn send_peer(&self, address: Option<String>, envelope: Envelope) {
-        let told = || self.open.borrow().told.get(&envelope.to).cloned();
-        let Some(address) = address.or_else(told) else {
+        let reported = || {
+            self.open
+                .borrow()
+                .reported_addresses
+                .get(&envelope.to)
+                .cloned()
+        };
+        let Some(address) = address.or_else(reported) else {
             return;
         };
         let sender = self.peer_queue(&address);
         queue(&sender, Frame::Peer(envelope));
     }
 
-    /// Queues a wish to join for a replica.
+    /// Queues a request to join for the replica at `address`.
     pub(crate) fn send_join(&self, address: &str, request: JoinRequest) {
         let sender = self.peer_queue(address);
         queue(&sender, Frame::Join(request));
@@ -101,7 +108,7 @@
         let peer = Peer {
             address: address.to_owned(),
             hello,
-            lowest: Rc::clone(&self.lowest),
+            min_version: Rc::clone(&self.min_version),
         };
         let task = peer_link::run(peer, frames);
         self.executor.spawn(task).detach();
@@ -118,7 +125,7 @@
         }
     }
 
-    /// A child that takes connections of peers and gateways.
+    /// A child that accepts connections of peers and gateways.
     pub(crate) fn listener_child(&self, listener: TcpListener) -> ChildSpec {
         let listener = Rc::new(listener);
         let connections = self.clone();
@@ -140,9 +147,10 @@
                     let connection = self.clone().serve(stream);
                     self.executor.spawn(connection).detach();
                 }
-                // Out of file handles, for example: give the others time.
+                // The process may be out of file descriptors: wait until other
+                // connections close.
                 Err(_) => {
-                    Timer::after(ACCEPT_PAUSE).await;
+                    Timer::after(ACCEPT_RETRY_DELAY).await;
                 }
             }
         }
@@ -168,7 +176,7 @@
         mut writer: FrameWriter,
     ) -> Result<(), WireError> {
         let version = accepted.version;
-        let level = self.lowest.get();
+        let level = self.min_version.get();
         if matches!(accepted.sender, FrameSender::Replica { .. }) && version < level {
             let found = version;
             return Err(WireError::BelowLevel { found, level });
@@ -176,7 +184,10 @@
         writer.welcome(&accepted).await?;
         match accepted.sender {
             FrameSender::Replica { id, address } => {
-                self.open.borrow_mut().told.insert(id, address);
+                self.open
+                    .borrow_mut()
+                    .reported_addresses
+                    .insert(id, address);
                 let _stopping = self.events.send(Event::MemberOpened { id, version }).await;
                 self.serve_peer(id, reader).await
             }
@@ -187,7 +198,7 @@
     async fn serve_peer(&self, id: ReplicaId, mut reader: FrameReader) -> Result<(), WireError> {
         while let Some(frame) = reader.next().await? {
             match frame {
-                // A replica speaks for itself only.
+                // A replica may send messages only in its own name.
                 Frame::Peer(envelope) if envelope.from == id => {
                     let _stopping = self.events.send(Event::Peer(envelope)).await;
                 }
@@ -206,7 +217,7 @@
         writer: FrameWriter,
     ) -> Result<(), WireError> {
         let (sender, replies) = unbounded();
-        let connection = self.next_number();
+        let connection = self.next_id();
         self.open.borrow_mut().gateways.insert(connection, sender);
         let version = writer.version();
         let opened = Event::GatewayOpened {
@@ -214,15 +225,15 @@
             version,
         };
         let _stopping = self.events.send(opened).await;
-        let writing = self.executor.spawn(write_all(writer, replies));
-        let outcome = self.read_gateway(connection, &mut reader).await;
+        let writing = self.executor.spawn(write_queued(writer, replies));
+        let outcome = self.receive_gateway_requests(connection, &mut reader).await;
         self.open.borrow_mut().gateways.remove(&connection);
         let _stopping = self.events.send(Event::GatewayClosed { connection }).await;
         drop(writing);
         outcome
     }
 
-    async fn read_gateway(
+    async fn receive_gateway_requests(
         &self,
         connection: u64,
         reader: &mut FrameReader,
@@ -242,45 +253,47 @@
 
     // ---- Operators ----
 
-    /// Puts a question to the replica and waits for its answer.
+    /// Sends an operator's request to the replica and waits for its answer; `None` when
+    /// none arrives in time.
     pub async fn ask(&self, request: OperatorRequest) -> Option<OperatorAnswer> {
         let (sender, answers) = bounded(1);
-        let ticket = self.next_number();
+        let ticket = self.next_id();
         self.open.borrow_mut().operators.insert(ticket, sender);
         let _stopping = self.events.send(Event::Operator { ticket, request }).await;
         let answer = async { answers.recv().await.ok() };
-        let late = async {
-            Timer::after(OPERATOR_PATIENCE).await;
+        let timeout = async {
+            Timer::after(OPERATOR_TIMEOUT).await;
             None
         };
-        let answer = smol::future::or(answer, late).await;
+        let answer = smol::future::or(answer, timeout).await;
         self.open.borrow_mut().operators.remove(&ticket);
         answer
     }
 
     pub(crate) fn answer_operator(&self, ticket: u64, answer: OperatorAnswer) {
         if let Some(sender) = self.open.borrow().operators.get(&ticket) {
-            let _gone = sender.try_send(answer);
+            let _receiver_closed = sender.try_send(answer);
         }
     }
 
-    fn next_number(&self) -> u64 {
+    fn next_id(&self) -> u64 {
         let mut open = self.open.borrow_mut();
-        open.next += 1;
-        open.next
+        open.last_id += 1;
+        open.last_id
     }
 }
 
-/// Queues a frame where fewer than [`QUEUED_FRAMES`] wait. The channel grows with what waits:
-/// one of a fixed size would take a quarter of a megabyte for each connection that
-/// rests, which is half of a replica's memory before a thousand gateways.
+/// Queues a frame unless [`MAX_QUEUED_FRAMES`] are waiting already. The channel is
+/// unbounded so that its memory grows with the frames that wait: one of a fixed capacity
+/// would take a quarter of a megabyte for each idle connection, which is half of a
+/// replica's memory with a thousand gateways.
 fn queue(sender: &Sender<Frame>, frame: Frame) {
-    if sender.len() < QUEUED_FRAMES {
+    if sender.len() < MAX_QUEUED_FRAMES {
         let _closed = sender.try_send(frame);
     }
 }
 
-async fn write_all(mut writer: FrameWriter, frames: Receiver<Frame>) {
+async fn write_queued(mut writer: FrameWriter, frames: Receiver<Frame>) {
     while let Ok(frame) = frames.recv().await {
         match writer.send(frame).await {
             Ok(()) => {}
@@ -288,7 +301,7 @@
                 log::warn!(cause = error.to_string().as_str(); "gateway_not_served");
                 return;
             }
-            // The connection is over, which its reader logs.
+            // The connection ended, which its reader logs.
             Err(_) => return,
         }
     }
--- a/components/control-shell/src/data_folder.rs
+++ b/components/control-shell/src/data_folder.rs
@@ -1,4 +1,4 @@
-//! Opens the data folder: who this replica is, and what it knows.
+//! Opens the data folder of a replica: its identity and its durable state.
 
 use std::io;
 use std::path::PathBuf;
@@ -17,56 +17,59 @@
 use crate::disk_space::wait_for_space;
 use crate::joining::MemberAddress;
 
-/// The group that a replica was born into, kept for later starts.
-const FIRST_GROUP_FILE: &str = "first-group";
-/// How often a full disk is looked at. Nothing else runs yet.
-const LOOK_FOR_ROOM: Duration = Duration::from_millis(200);
+/// Holds the initial group of a replica that is one of its first members, for later
+/// starts.
+const INITIAL_GROUP_FILE: &str = "first-group";
+/// How often opening is retried on a full disk. It blocks the thread, since nothing else
+/// runs yet.
+const SPACE_RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
-/// The group at its very first start.
+/// The group at its first start.
 #[derive(Debug, Clone)]
 pub enum InitialGroup {
-    /// Members with the identities that the settings give them.
+    /// Members with the identities from the settings.
     WithIds(Membership),
-    /// Members whose identities follow from their addresses. It is kept on
-    /// disk, since the settings name other addresses later.
+    /// Members whose identities are derived from their addresses. The group is stored
+    /// on disk, since the settings may list other addresses later.
     ByAddress(Vec<MemberAddress>),
 }
 
-/// What opening needs.
+/// Settings for opening a data folder.
 #[derive(Debug, Clone)]
 pub struct OpenSettings {
-    /// Name of the process.
+    /// Name of the process, to which the folder belongs.
     pub name: String,
-    /// Data folder.
+    /// Path of the data folder.
     pub data: PathBuf,
-    /// Identity at the first start of the group, if it has one from then.
+    /// Identity at the first start of the group, if the replica is one of its first
+    /// members; otherwise the identity is random.
     pub initial_id: Option<ReplicaId>,
     /// The group at its first start.
     pub initial_group: InitialGroup,
-    /// Settings of the replica; its identity and seed are filled in.
+    /// Settings of the replica. Its identity and seed are filled in by [`open`].
     pub replica: ReplicaSettings,
 }
 
-/// What was opened.
+/// A replica that was restored from its data folder.
 pub struct OpenedReplica {
-    /// The identity of the disk.
+    /// Identity of the replica, which is bound to its disk.
     pub id: ReplicaId,
     pub(crate) replica: Replica,
     pub(crate) storage: ReplicaStorage<DiskDirectory>,
     pub(crate) clock: Clock,
 }
 
-/// Identity of a first member that is known by its address only.
+/// Identity of an initial member that is known by its address only.
 pub fn replica_id_for(address: &MemberAddress) -> ReplicaId {
     ReplicaId(xxh3_64(address.peer.as_bytes()))
 }
 
 /// Opens the data folder. An identity is bound to the disk: an empty folder
-/// is a new replica unless this is the group's first start. A full disk is
-/// waited for, until `stop_requested`: nothing is opened then.
+/// makes a new replica unless this is the first start of the group. While the disk
+/// is full this waits, until `stop_requested` returns true; it returns `None` then.
 ///
 /// # Errors
-/// When the folder can't be used, or holds what this program can't read.
+/// When the folder can't be used, or holds data that this build can't read.
 pub fn open(
     settings: &OpenSettings,
     clock: Clock,
@@ -78,7 +81,7 @@
         }
         DiskDirectory::open(&settings.data).map(Some)
     };
-    let opened = wait_for_space(open_disk, || thread::sleep(LOOK_FOR_ROOM));
+    let opened = wait_for_space(open_disk, || thread::sleep(SPACE_RETRY_INTERVAL));
     let opened = opened.map_err(|error| {
         let folder = settings.data.display();
         io::Error::new(error.kind(), format!("data folder {folder}: {error}"))
@@ -143,7 +146,7 @@
         InitialGroup::ByAddress(addresses) => addresses,
     };
     if !created {
-        return Ok(load_value(directory, FIRST_GROUP_FILE)?.unwrap_or_default());
+        return Ok(load_value(directory, INITIAL_GROUP_FILE)?.unwrap_or_default());
     }
     let member = |address: &MemberAddress| {
         let member = Member {
@@ -158,6 +161,6 @@
     if !group.members.contains_key(&id) {
         return Ok(Membership::default());
     }
-    save_value(directory, FIRST_GROUP_FILE, &group)?;
+    save_value(directory, INITIAL_GROUP_FILE, &group)?;
     Ok(group)
 }
--- a/components/control-shell/src/directory.rs
+++ b/components/control-shell/src/directory.rs
@@ -1,4 +1,4 @@
-//! The port to the list of machines, and the child that reads it.
+//! The port to the list of machines, and the child task that polls it.
 
 use std::cell::Cell;
 use std::future::Future;
@@ -14,41 +14,41 @@
 
 use crate::metrics::ReplicaMetrics;
 
-/// How often a replica that does not lead looks whether it leads now.
-const LEADERSHIP_CHECK: Duration = Duration::from_millis(100);
+/// How often a replica checks whether it leads by now, where only the leader reads the
+/// list.
+const LEADERSHIP_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Why the list could not be read.
+/// Why the list of machines could not be read.
 #[derive(Debug, Display, Error)]
 pub enum DirectoryError {
     /// no answer: {0}
     Unreachable(String),
-    /// too many questions are asked
+    /// too many requests
     Throttled,
     /// the answer can't be read: {0}
     Malformed(String),
 }
 
-/// One reading of the list.
+/// The result of one read of the list.
 #[derive(Debug, Default)]
 pub struct ListedMachines {
-    /// The machines that it names.
+    /// The machines in the list.
     pub machines: Vec<MachineEntry>,
-    /// Why entries were left aside, one reason for each: they name nothing that can
-    /// be used.
+    /// For each entry that was skipped, the reason why it can't be used.
     pub skipped_entries: Vec<String>,
 }
 
 /// Reads the list of machines.
 pub trait DirectoryPort {
-    /// The whole list as it stands.
+    /// Reads the current list.
     fn read(&self) -> impl Future<Output = Result<ListedMachines, DirectoryError>>;
-    /// Pause between two readings.
+    /// Delay between two reads.
     fn interval(&self) -> Duration;
-    /// Whether only the leader reads, where each question has a price.
+    /// Whether only the leader reads the list, because each request is billed.
     fn leader_only(&self) -> bool;
 }
 
-/// A child that reads the list again and again.
+/// A child that polls the list of machines.
 pub(crate) fn child<D: DirectoryPort + 'static>(
     directory: Rc<D>,
     leads: Rc<Cell<bool>>,
@@ -61,14 +61,14 @@
         let events = events.clone();
         let metrics = Rc::clone(&metrics);
         async move {
-            let reading = read_on(&*directory, &leads, &events, &metrics);
-            smol::future::or(reading, stop.stopped()).await;
+            let polling = poll_list(&*directory, &leads, &events, &metrics);
+            smol::future::or(polling, stop.stopped()).await;
             Ok::<(), ChildError>(())
         }
     })
 }
 
-async fn read_on(
+async fn poll_list(
     directory: &impl DirectoryPort,
     leads: &Cell<bool>,
     events: &Sender<Event>,
@@ -78,7 +78,7 @@
     let mut skipped_entries = 0;
     loop {
         if directory.leader_only() && !leads.get() {
-            Timer::after(LEADERSHIP_CHECK).await;
+            Timer::after(LEADERSHIP_CHECK_INTERVAL).await;
             continue;
         }
         match directory.read().await {
@@ -87,12 +87,12 @@
                     log::info!(machines = listing.machines.len(); "directory_regained");
                 }
                 healthy = true;
-                metrics.left_entries_aside(listing.skipped_entries.len());
+                metrics.set_skipped_entries(listing.skipped_entries.len());
                 if listing.skipped_entries.len() != skipped_entries {
                     skipped_entries = listing.skipped_entries.len();
-                    note_left_aside(&listing.skipped_entries);
+                    log_skipped_entries(&listing.skipped_entries);
                 }
-                let _unheard = events.send(Event::Machines(listing.machines)).await;
+                let _receiver_closed = events.send(Event::Machines(listing.machines)).await;
             }
             Err(error) => {
                 if healthy {
@@ -105,8 +105,8 @@
     }
 }
 
-/// One line, whatever the number of entries.
-fn note_left_aside(reasons: &[String]) {
+/// Logs one line, however many entries were skipped.
+fn log_skipped_entries(reasons: &[String]) {
     let first = reasons.first().map_or("", String::as_str);
     log::warn!(entries = reasons.len(), first = first; "list_entries_left_aside");
 }
--- a/components/control-shell/src/disk.rs
+++ b/components/control-shell/src/disk.rs
@@ -1,7 +1,8 @@
-//! Makes durable what the replica hands out, off its loop, and bears a full disk.
+//! Writes a replica's log and snapshots to disk on another thread, and waits while the
+//! disk is full.
 //!
-//! Contract: nothing that did not last is acknowledged. While there is no room the
-//! replica stays; any other failure of the disk is its end.
+//! Contract: nothing is acknowledged before it is durable. While the disk is full the
+//! replica keeps running; any other disk failure ends it.
 
 use std::cell::Cell;
 use std::time::{Duration, Instant};
@@ -17,31 +18,31 @@
 use crate::connections::Connections;
 use crate::metrics::ReplicaMetrics;
 
-/// How often a full disk is tried again.
-const LOOK_FOR_ROOM: Duration = Duration::from_millis(200);
+/// How often a write to a full disk is retried.
+const SPACE_RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Why nothing more is made durable.
+/// Why writing to the disk ended.
 pub(crate) enum PersistEnd {
-    /// A planned stop came while the disk was full.
+    /// A planned stop was requested while the disk was full.
     Stopped,
-    /// The disk failed: what lasted can't be known.
+    /// The disk failed, so that it is unknown what is durable.
     Failed(StorageError),
 }
 
-/// The disk of a replica, and who is turned away while it is full.
-pub(crate) struct Disk<'a> {
+/// Writes to the disk of a replica, and refuses requests while the disk is full.
+pub(crate) struct DiskWriter<'a> {
     pub(crate) storage: ReplicaStorage<DiskDirectory>,
-    /// What happens meanwhile.
+    /// Events that arrive while the disk is full.
     pub(crate) events: &'a Receiver<Event>,
     pub(crate) connections: &'a Connections,
     pub(crate) metrics: &'a ReplicaMetrics,
-    /// What other children are told of the leadership.
+    /// Whether the replica leads, as published to the other children.
     pub(crate) leads: &'a Cell<bool>,
     pub(crate) stop: &'a StopSignal,
 }
 
-impl Disk<'_> {
-    /// Makes everything durable that the replica hands out, off the loop.
+impl DiskWriter<'_> {
+    /// Makes everything durable that the replica has ready, on another thread.
     pub(crate) async fn persist(
         mut self,
         replica: &mut Replica,
@@ -60,13 +61,14 @@
         Ok(self.storage)
     }
 
-    /// Writes until there is room. Until then the replica hears nothing and
-    /// says nothing: it acknowledges nothing that did not last, its lease ends,
-    /// and the others elect a leader, as for a replica whose disk stalls.
+    /// Writes, and retries while the disk is full. Until the write succeeds the
+    /// replica neither handles nor sends messages. It acknowledges nothing that is
+    /// not durable, its lease expires, and the other replicas elect a leader, as
+    /// they do for a replica whose disk stalls.
     async fn write(mut self, mut ready: Ready) -> Result<(Self, Ready), PersistEnd> {
-        let mut refusals: u64 = 0;
+        let mut failed_writes: u64 = 0;
         loop {
-            let began = Instant::now();
+            let started_at = Instant::now();
             let mut storage = self.storage;
             let result;
             (storage, ready, result) = smol::unblock(move || {
@@ -76,27 +78,27 @@
             .await;
             self.storage = storage;
             match result {
-                Ok(()) => self.metrics.synced(began.elapsed()),
+                Ok(()) => self.metrics.observe_sync(started_at.elapsed()),
                 Err(error) if error.is_full() => {
-                    if refusals == 0 {
+                    if failed_writes == 0 {
                         log::warn!(cause = error.to_string().as_str(); "disk_full");
                     }
-                    refusals += 1;
-                    self.turn_away_for(LOOK_FOR_ROOM).await?;
+                    failed_writes += 1;
+                    self.refuse_events_for(SPACE_RETRY_INTERVAL).await?;
                     continue;
                 }
                 Err(error) => return Err(PersistEnd::Failed(error)),
             }
-            if refusals > 0 {
-                log::info!(tries = refusals; "disk_full_over");
+            if failed_writes > 0 {
+                log::info!(tries = failed_writes; "disk_full_over");
                 self.metrics.set_disk_full(false);
             }
             return Ok((self, ready));
         }
     }
 
-    /// A snapshot only shortens the log: where there is no room for it, the
-    /// next one does.
+    /// Saves a snapshot. Where the disk has no space for it, it is skipped: a snapshot
+    /// only shortens the log, which the next one does as well.
     async fn save_snapshot(mut self, snapshot: Snapshot) -> Result<Self, PersistEnd> {
         log::info!(index = snapshot.index, bytes = snapshot.data.len(); "snapshot");
         let mut storage = self.storage;
@@ -108,7 +110,7 @@
         .await;
         self.storage = storage;
         match result {
-            Ok(()) => self.metrics.saved_snapshot(),
+            Ok(()) => self.metrics.count_snapshot(),
             Err(error) if error.is_full() => {
                 log::warn!(cause = error.to_string().as_str(); "snapshot_left");
             }
@@ -117,20 +119,20 @@
         Ok(self)
     }
 
-    /// Refers gateways and operators to other replicas. What peers and engines
-    /// say is lost, as on a bad network.
-    async fn turn_away_for(&self, pause: Duration) -> Result<(), PersistEnd> {
+    /// For the time of `pause`, refers gateways and operators to other replicas.
+    /// Messages of peers and engines are dropped, as on a lossy network.
+    async fn refuse_events_for(&self, pause: Duration) -> Result<(), PersistEnd> {
         self.metrics.set_disk_full(true);
         self.leads.set(false);
-        let answering = async {
+        let refusing = async {
             while let Ok(event) = self.events.recv().await {
-                turn_away(event, self.connections);
+                refuse_event(event, self.connections);
             }
         };
         let pause = async {
             Timer::after(pause).await;
         };
-        smol::future::or(smol::future::or(answering, pause), self.stop.stopped()).await;
+        smol::future::or(smol::future::or(refusing, pause), self.stop.stopped()).await;
         if self.stop.is_stopped() {
             return Err(PersistEnd::Stopped);
         }
@@ -138,7 +140,7 @@
     }
 }
 
-fn turn_away(event: Event, connections: &Connections) {
+fn refuse_event(event: Event, connections: &Connections) {
     match event {
         Event::Gateway { connection, .. } => {
             let reply = ControlReply::NotLeader {
--- a/components/control-shell/src/disk_space.rs
+++ b/components/control-shell/src/disk_space.rs
@@ -1,12 +1,12 @@
-//! A full disk refuses every write, and it may be full for a while.
+//! Waits for disk space at start.
 //!
-//! A replica that starts on a full disk waits here for room, in place of ending
-//! and being started again and again. One that finds its disk full while it runs
-//! waits as well, see `disk`.
+//! A full disk fails every write, and may stay full for a while. A replica that
+//! starts on a full disk waits here for space, so that it does not exit and get
+//! restarted in a loop. A running replica whose disk fills up waits in `disk`.
 
 use std::io;
 
-/// Opens the disk, and again after a `pause` for as long as it is full.
+/// Calls `open`, and calls it again after each `pause` for as long as the disk is full.
 ///
 /// # Errors
 /// Any other error of `open`.
@@ -14,19 +14,19 @@
     mut open: impl FnMut() -> io::Result<T>,
     mut pause: impl FnMut(),
 ) -> io::Result<T> {
-    let mut tries: u64 = 0;
+    let mut attempts: u64 = 0;
     loop {
         match open() {
             Err(error) if error.kind() == io::ErrorKind::StorageFull => {
-                if tries == 0 {
+                if attempts == 0 {
                     log::warn!(cause = error.to_string().as_str(); "disk_full");
                 }
-                tries += 1;
+                attempts += 1;
                 pause();
             }
             other => {
-                if tries > 0 {
-                    log::info!(tries = tries; "disk_full_over");
+                if attempts > 0 {
+                    log::info!(tries = attempts; "disk_full_over");
                 }
                 return other;
             }
--- a/components/control-shell/src/duties.rs
+++ b/components/control-shell/src/duties.rs
@@ -1,4 +1,4 @@
-//! The port to the platform for duties that one replica does at a time.
+//! The port to the platform for duties that only one replica performs at a time.
 
 use std::future::Future;
 
@@ -6,11 +6,11 @@
 
 /// Calls the platform.
 pub trait DutyPort: Clone {
-    /// Makes the call; its connection is closed when no answer comes in time.
+    /// Makes the call. Its connection is closed when no answer arrives in time.
     fn call(&self, call: DutyCall) -> impl Future<Output = DutyAnswer>;
 }
 
-/// A platform without such duties.
+/// A platform without duties: each call is refused.
 #[derive(Debug, Clone, Copy)]
 pub struct NoDuties;
 
@@ -20,7 +20,7 @@
     }
 }
 
-/// Notes the end of a call in the log.
+/// Logs the outcome of a call.
 pub(crate) fn log_answer(call: &DutyCall, answer: DutyAnswer) {
     match &call.duty {
         Duty::Usage { window, counts } => log::info!(
--- a/components/control-shell/src/engines.rs
+++ b/components/control-shell/src/engines.rs
@@ -1,14 +1,14 @@
-//! The port to engines: their state, and orders under a fence.
+//! The port to engines: status requests, and orders that carry a fence.
 
 use std::future::Future;
 
 use garnet_control::{EngineRequest, Event, Replica};
 use garnet_types::{BackendId, Millis};
 
-/// Asks engines.
+/// Sends requests to engines.
 pub trait EnginePort: Clone {
-    /// Asks and gives back the answer as an event. Silence is `None`: the
-    /// state that is known grows old.
+    /// Sends a request and returns the answer as an event, or `None` when no answer
+    /// came: the replica then keeps the last state that it received.
     fn ask(
         &self,
         engine: BackendId,
@@ -17,8 +17,9 @@
     ) -> impl Future<Output = Option<Event>>;
 }
 
-/// Whether a question may leave now: an order only under this leader's lease.
-pub(crate) fn may_ask(replica: &Replica, request: &EngineRequest, now: Millis) -> bool {
+/// Whether a request may be sent now. An order may be sent only while this leader holds
+/// its lease.
+pub(crate) fn may_send(replica: &Replica, request: &EngineRequest, now: Millis) -> bool {
     match request {
         EngineRequest::Status => true,
         EngineRequest::Order(order) => replica.may_send_order(order.fence, now),
--- a/components/control-shell/src/joining.rs
+++ b/components/control-shell/src/joining.rs
@@ -1,4 +1,5 @@
-//! A replica that is not in the group, or was taken out of it, asks to join.
+//! Requests to join, sent by a replica that is not a member of the group or was removed
+//! from it.
 
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -14,75 +15,75 @@
 
 use crate::connections::Connections;
 
-/// How often the wish is repeated.
-const ASK_INTERVAL: Duration = Duration::from_millis(300);
+/// How often the request to join is sent.
+const JOIN_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Addresses of one replica.
+/// The addresses of one replica.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct MemberAddress {
-    /// For peers and gateways.
+    /// Address for peers and gateways.
     pub peer: String,
-    /// For operators.
+    /// Address for operators.
     pub admin: String,
 }
 
-/// Where members of the group may be found. Settings that change are noted
-/// here while the replica runs.
+/// Addresses at which members of the group may be reached. They are updated when the
+/// settings change while the replica runs.
 pub type GroupAddresses = Shared<Vec<MemberAddress>>;
 
-/// What the replica task tells of its place in the group.
+/// The replica's membership in the group, as published by the replica task.
 #[derive(Debug, Clone, Default)]
-pub(crate) struct Standing {
-    /// Peer addresses of the members that it knows.
+pub(crate) struct MembershipStatus {
+    /// Peer addresses of the members in the replica's view of the group.
     pub(crate) peers: BTreeSet<String>,
-    /// Whether it is a member and hears a leader.
-    pub(crate) belongs: bool,
+    /// Whether the replica is a member and has a leader.
+    pub(crate) is_settled: bool,
 }
 
-impl Standing {
-    pub(crate) fn of(membership: &Membership, own: ReplicaId, hears_leader: bool) -> Self {
+impl MembershipStatus {
+    pub(crate) fn of(membership: &Membership, own: ReplicaId, has_leader: bool) -> Self {
         let peers = membership.members.values();
-        Standing {
+        MembershipStatus {
             peers: peers.map(|member| member.peer_address.clone()).collect(),
-            belongs: membership.members.contains_key(&own) && hears_leader,
+            is_settled: membership.members.contains_key(&own) && has_leader,
         }
     }
 }
 
-/// A child that asks to join whenever the replica does not belong.
+/// A child that sends requests to join while the replica is no member with a leader.
 pub(crate) fn child(
     request: JoinRequest,
     addresses: GroupAddresses,
-    standing: Rc<RefCell<Standing>>,
+    status: Rc<RefCell<MembershipStatus>>,
     connections: Connections,
 ) -> ChildSpec {
     ChildSpec::new("joining", Restart::Permanent, move |stop: StopSignal| {
         let request = request.clone();
         let addresses = addresses.clone();
-        let standing = Rc::clone(&standing);
+        let status = Rc::clone(&status);
         let connections = connections.clone();
         async move {
-            let asking = async {
+            let requesting = async {
                 loop {
-                    Timer::after(ASK_INTERVAL).await;
-                    if !standing.borrow().belongs {
-                        ask(&request, &addresses, &standing, &connections);
+                    Timer::after(JOIN_INTERVAL).await;
+                    if !status.borrow().is_settled {
+                        send_requests(&request, &addresses, &status, &connections);
                     }
                 }
             };
-            smol::future::or(asking, stop.stopped()).await;
+            smol::future::or(requesting, stop.stopped()).await;
             Ok::<(), ChildError>(())
         }
     })
 }
 
-fn ask(
+fn send_requests(
     request: &JoinRequest,
     addresses: &GroupAddresses,
-    standing: &RefCell<Standing>,
+    status: &RefCell<MembershipStatus>,
     connections: &Connections,
 ) {
-    let mut targets = standing.borrow().peers.clone();
+    let mut targets = status.borrow().peers.clone();
     targets.extend(addresses.current().into_iter().map(|member| member.peer));
     targets.remove(&request.peer_address);
     for target in targets {
--- a/components/control-shell/src/metrics.rs
+++ b/components/control-shell/src/metrics.rs
@@ -13,15 +13,15 @@
 
 type Labels = Vec<(&'static str, &'static str)>;
 
-/// Upper ends of the buckets for syncs, in seconds.
+/// Upper bounds of the histogram buckets for sync times, in seconds.
 const SYNC_BUCKETS: [f64; 10] = [0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.3, 1.0, 3.0];
 
-/// What is counted.
+/// Metrics of a replica.
 pub struct ReplicaMetrics {
     registry: Registry,
     syncs: Histogram,
     snapshots: Counter,
-    asked: Family<Labels, Counter>,
+    engine_requests: Family<Labels, Counter>,
     roles_stated: Counter,
     terms_led: Counter,
     term: Gauge,
@@ -29,13 +29,13 @@
     commit_index: Gauge,
     disk_full: Gauge,
     duty_calls: Family<Labels, Counter>,
-    usage_untold: Gauge,
+    usage_unreported: Gauge,
     usage_open: Gauge,
     duty_token: Gauge,
     quarantined: Gauge,
-    looked_at: Gauge,
+    inspected: Gauge,
     backends: Gauge,
-    left_aside: Gauge,
+    skipped_entries: Gauge,
     limited: Gauge,
     level: Gauge,
     halted: Gauge,
@@ -55,12 +55,12 @@
         );
         let snapshots = Counter::default();
         let snapshots = registered(all, "snapshots", "Snapshots written", snapshots);
-        let asked = Family::default();
-        let asked = registered(
+        let engine_requests = Family::default();
+        let engine_requests = registered(
             all,
             "engine_requests",
             "Questions and orders to engines",
-            asked,
+            engine_requests,
         );
         let roles_stated = Counter::default();
         let roles_stated = registered(
@@ -85,7 +85,7 @@
         let help = "Calls to the platform, by duty and how they ended";
         let duty_calls = registered(all, "duty_calls", help, Family::default());
         let help = "Windows of usage that are closed and that the platform has not taken";
-        let usage_untold = registered(all, "usage_windows_untold", help, Gauge::default());
+        let usage_unreported = registered(all, "usage_windows_untold", help, Gauge::default());
         let help = "Windows of usage that gateways counted in and that are not closed";
         let usage_open = registered(all, "usage_windows_open", help, Gauge::default());
         let help = "Fencing token of the present holder of the duties, 0 for none";
@@ -93,11 +93,11 @@
         let help = "Requests that are refused since engines ended under them";
         let quarantined = registered(all, "quarantined_requests", help, Gauge::default());
         let help = "Back ends that the regular work of a leader has looked at";
-        let looked_at = registered(all, "backends_looked_at", help, Gauge::default());
+        let inspected = registered(all, "backends_looked_at", help, Gauge::default());
         let help = "Back ends that are known";
         let backends = registered(all, "backends", help, Gauge::default());
         let help = "Entries of the list of machines that the newest reading left aside";
-        let left_aside = registered(all, "list_entries_left_aside", help, Gauge::default());
+        let skipped_entries = registered(all, "list_entries_left_aside", help, Gauge::default());
         let help = "Back ends that have named a limit, where this replica leads";
         let limited = registered(all, "limited_backends", help, Gauge::default());
         let help = "Encoding version of this build";
@@ -114,20 +114,20 @@
             halted,
             earlier_processes,
             limited,
-            left_aside,
+            skipped_entries,
             quarantined,
-            looked_at,
+            inspected,
             backends,
 
             duty_calls,
-            usage_untold,
+            usage_unreported,
             usage_open,
             duty_token,
             disk_full,
             registry,
             syncs,
             snapshots,
-            asked,
+            engine_requests,
             roles_stated,
             terms_led,
             term,
@@ -138,31 +138,33 @@
 }
 
 impl ReplicaMetrics {
-    pub(crate) fn synced(&self, took: Duration) {
-        self.syncs.observe(took.as_secs_f64());
+    pub(crate) fn observe_sync(&self, duration: Duration) {
+        self.syncs.observe(duration.as_secs_f64());
     }
 
     pub(crate) fn set_disk_full(&self, is_full: bool) {
         self.disk_full.set(i64::from(is_full));
     }
 
-    pub(crate) fn saved_snapshot(&self) {
+    pub(crate) fn count_snapshot(&self) {
         self.snapshots.inc();
     }
 
-    pub(crate) fn asked_engine(&self, request: &EngineRequest) {
+    pub(crate) fn count_engine_request(&self, request: &EngineRequest) {
         let kind = match request {
             EngineRequest::Status => "status",
             EngineRequest::Order(_) => "order",
         };
-        self.asked.get_or_create(&vec![("kind", kind)]).inc();
+        self.engine_requests
+            .get_or_create(&vec![("kind", kind)])
+            .inc();
     }
 
-    pub(crate) fn stated_role(&self) {
+    pub(crate) fn count_stated_role(&self) {
         self.roles_stated.inc();
     }
 
-    pub(crate) fn called_platform(&self, call: &DutyCall, answer: DutyAnswer) {
+    pub(crate) fn count_duty_call(&self, call: &DutyCall, answer: DutyAnswer) {
         let duty = match &call.duty {
             Duty::Usage { .. } => "usage",
             Duty::Fleet { .. } => "fleet",
@@ -171,15 +173,15 @@
         self.duty_calls.get_or_create(&labels).inc();
     }
 
-    pub(crate) fn left_entries_aside(&self, entries: usize) {
-        self.left_aside.set(gauge_value(entries as u64));
+    pub(crate) fn set_skipped_entries(&self, entries: usize) {
+        self.skipped_entries.set(gauge_value(entries as u64));
     }
 
-    pub(crate) fn became_leader(&self) {
+    pub(crate) fn count_won_election(&self) {
         self.terms_led.inc();
     }
 
-    pub(crate) fn look(&self, replica: &Replica, now: Millis) {
+    pub(crate) fn update(&self, replica: &Replica, now: Millis) {
         let node = replica.node();
         let status = node.status();
         self.term.set(gauge_value(status.term));
@@ -191,12 +193,12 @@
         let earlier = replica.earlier_processes();
         self.earlier_processes.set(gauge_value(earlier as u64));
         let usage = &replica.state().usage;
-        self.usage_untold.set(usage.unreported().len() as i64);
+        self.usage_unreported.set(usage.unreported().len() as i64);
         self.usage_open.set(usage.open_windows() as i64);
         let tenure = replica.state().tenures.current();
         let token = tenure.map_or(0, |tenure| tenure.token);
         self.duty_token.set(gauge_value(token));
-        self.looked_at
+        self.inspected
             .set(gauge_value(replica.inspected_backends()));
         let backends = replica.state().configuration.backends.len();
         self.backends.set(gauge_value(backends as u64));
@@ -206,7 +208,7 @@
         self.quarantined.set(gauge_value(quarantined as u64));
     }
 
-    /// The text for the metrics address.
+    /// Renders the metrics as the text that the metrics address serves.
     pub fn render(&self) -> String {
         text_of(&self.registry)
     }
--- a/components/control-shell/src/peer_link.rs
+++ b/components/control-shell/src/peer_link.rs
@@ -1,10 +1,10 @@
-//! A connection to a peer, one way: what the peer has to say comes on a
+//! A one-way connection to a peer. The peer sends its own messages over a
 //! connection that it opens itself.
 //!
-//! Replicas that follow say nothing to each other until an election. Their
-//! connections rest for long, and a peer that was started again meanwhile has
-//! closed its end. A frame written then would be lost, and an election with it:
-//! so the end is looked for while nothing is sent.
+//! Followers send nothing to each other until an election, so their connections
+//! are idle for long. A peer that restarted meanwhile has closed its end, and a frame
+//! written to that connection would be lost, which can cost an election. The
+//! connection is therefore watched for its end while nothing is sent.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -18,33 +18,33 @@
 use smol::Timer;
 use smol::channel::Receiver;
 
-/// Pause after a connection that did not come up.
-const RECONNECT_PAUSE: Duration = Duration::from_millis(100);
+/// Delay before the next attempt after a connection failed.
+const RECONNECT_DELAY: Duration = Duration::from_millis(100);
 
-/// Why a connection is over.
+/// Why a connection ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LinkEnd {
     /// The peer closed it.
     Closed,
     /// A frame could not be written.
     WriteFailed,
-    /// No frames will come any more.
+    /// The queue of frames was closed.
     QueueClosed,
-    /// The peer may speak a later version by now.
+    /// The peer may support a later version by now, which is offered on a new connection.
     OfferAgain,
 }
 
 /// A peer to send to.
 pub(crate) struct Peer {
     pub(crate) address: String,
-    /// How this replica introduces itself.
+    /// The identity that this replica sends in its hello.
     pub(crate) hello: FrameSender,
-    /// Lowest version that may be spoken with a peer.
-    pub(crate) lowest: Rc<Cell<EncodingVersion>>,
+    /// Lowest version that may be used with a peer.
+    pub(crate) min_version: Rc<Cell<EncodingVersion>>,
 }
 
-/// Sends what is queued for a peer, over a new connection where the last one
-/// is over.
+/// Sends the frames that are queued for a peer, and opens a new connection when the
+/// last one has ended.
 pub(crate) async fn run(peer: Peer, frames: Receiver<Frame>) {
     let mut connect_time = ConnectTime::default();
     let mut offers = Offers::default();
@@ -58,13 +58,14 @@
                 continue;
             }
         }
-        Timer::after(RECONNECT_PAUSE).await;
-        // What waited meanwhile is old: heartbeats bring the present.
+        Timer::after(RECONNECT_DELAY).await;
+        // Frames that were queued meanwhile are outdated; the next heartbeat carries the
+        // current state.
         while frames.try_recv().is_ok() {}
     }
 }
 
-/// Opens a connection in the first version that is not refused at once.
+/// Opens a connection in the first offered version that the peer does not refuse.
 async fn open(
     peer: &Peer,
     offers: &mut Offers,
@@ -72,7 +73,7 @@
 ) -> Option<(FrameReader, FrameWriter)> {
     for _ in 0..Offers::COUNT {
         let offered = offers.next();
-        if offered < peer.lowest.get() {
+        if offered < peer.min_version.get() {
             offers.refused();
             continue;
         }
@@ -86,7 +87,7 @@
     None
 }
 
-/// Sends `first` and all that follows until the connection is over.
+/// Sends `first` and then the queued frames until the connection ends.
 pub async fn send_frames(
     mut reader: FrameReader,
     mut writer: FrameWriter,
@@ -105,7 +106,7 @@
         LinkEnd::QueueClosed
     };
     let closed = async {
-        // Nothing is expected here, so all that comes is its end.
+        // The peer sends nothing on this connection, so a read returns only at its end.
         while let Ok(Some(_)) = reader.next().await {}
         LinkEnd::Closed
     };
--- a/components/control-shell/src/replica_task.rs
+++ b/components/control-shell/src/replica_task.rs
@@ -1,7 +1,8 @@
-//! The task that owns the replica: events in, disk, effects out.
+//! The task that owns the replica. Each iteration handles events, writes to disk and
+//! carries out effects.
 //!
-//! While the disk syncs, events gather in the channel; all of them go into the
-//! next sync, which is what makes one sync serve many commands.
+//! While the disk syncs, events queue in the channel. The next sync covers all of
+//! them, so that one sync serves many commands.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -18,31 +19,31 @@
 use crate::connections::Connections;
 use crate::data_folder::OpenedReplica;
 use crate::directory::{self, DirectoryPort};
-use crate::disk::{Disk, PersistEnd};
+use crate::disk::{DiskWriter, PersistEnd};
 use crate::duties::{DutyPort, log_answer};
 use crate::engines::{self, EnginePort};
-use crate::joining::{self, GroupAddresses, Standing};
+use crate::joining::{self, GroupAddresses, MembershipStatus};
 use crate::metrics::ReplicaMetrics;
 
-const TICK: Millis = Millis(20);
-/// Events taken before the disk gets its turn.
-const EVENTS_PER_SYNC: usize = 1024;
+const TICK_INTERVAL: Millis = Millis(20);
+/// Events handled before the next write to disk.
+const MAX_EVENTS_PER_SYNC: usize = 1024;
 
-/// What is plugged into the shell.
+/// The adapters that the binary supplies to the shell.
 pub struct Ports<D, E, P> {
-    /// The list of machines; `None` leaves back ends to the operators.
+    /// The list of machines; with `None`, operators register the back ends.
     pub directory: Option<D>,
-    /// Engines.
+    /// The port to the engines.
     pub engines: E,
-    /// The platform's side of the duties.
+    /// The port to the platform.
     pub duties: P,
 }
 
-/// The parts of a running replica.
+/// The shell of a running replica.
 pub struct ControlShell {
-    /// Connections of the process; operators' adapters ask through them.
+    /// Connections of the process, through which adapters send operators' requests.
     pub connections: Connections,
-    /// What is counted.
+    /// Metrics of the replica.
     pub metrics: Rc<ReplicaMetrics>,
     events: Receiver<Event>,
     events_in: Sender<Event>,
@@ -50,12 +51,12 @@
 }
 
 impl ControlShell {
-    /// A shell for the replica `id`, which others reach at `peer_address`.
+    /// Creates the shell of the replica `id`, which peers reach at `peer_address`.
     pub fn new(id: ReplicaId, peer_address: String, executor: Rc<LocalExecutor<'static>>) -> Self {
         let (events_in, events) = smol::channel::unbounded();
-        let loop_of_process = Rc::clone(&executor);
+        let connection_executor = Rc::clone(&executor);
         ControlShell {
-            connections: Connections::new(id, peer_address, loop_of_process, events_in.clone()),
+            connections: Connections::new(id, peer_address, connection_executor, events_in.clone()),
             metrics: Rc::default(),
             events,
             events_in,
@@ -63,8 +64,8 @@
         }
     }
 
-    /// The children that run the replica. `join` is given where the group
-    /// keeps its members itself.
+    /// The children that run the replica. `join` is given where the group manages
+    /// its membership itself.
     pub fn children<D, E, P>(
         &self,
         opened: OpenedReplica,
@@ -77,18 +78,18 @@
         E: EnginePort + 'static,
         P: DutyPort + 'static,
     {
-        let told = Told::default();
-        let outlets = Outlets {
+        let published = PublishedStatus::default();
+        let targets = EffectTargets {
             connections: self.connections.clone(),
             engines: ports.engines,
             duties: ports.duties,
             executor: Rc::clone(&self.executor),
             events: self.events_in.clone(),
-            told: told.clone(),
+            published: published.clone(),
             metrics: Rc::clone(&self.metrics),
         };
         let mut children = vec![
-            child(opened, self.events.clone(), outlets),
+            child(opened, self.events.clone(), targets),
             self.connections.listener_child(listener),
         ];
         if let Some(directory) = ports.directory {
@@ -96,7 +97,7 @@
             let metrics = Rc::clone(&self.metrics);
             children.push(directory::child(
                 Rc::new(directory),
-                told.leads,
+                published.leads,
                 events,
                 metrics,
             ));
@@ -106,7 +107,7 @@
             children.push(joining::child(
                 request,
                 addresses,
-                told.standing,
+                published.membership_status,
                 connections,
             ));
         }
@@ -114,42 +115,42 @@
     }
 }
 
-/// What the replica tells other children.
+/// State that the replica publishes to the other children.
 #[derive(Clone, Default)]
-struct Told {
-    /// Whether it leads under its lease.
+struct PublishedStatus {
+    /// Whether the replica leads under its lease.
     leads: Rc<Cell<bool>>,
-    /// Its place in the group.
-    standing: Rc<RefCell<Standing>>,
+    /// Its membership in the group.
+    membership_status: Rc<RefCell<MembershipStatus>>,
 }
 
-/// Where effects go.
+/// The targets of the replica's effects.
 #[derive(Clone)]
-struct Outlets<E, P> {
+struct EffectTargets<E, P> {
     connections: Connections,
     engines: E,
     duties: P,
     executor: Rc<LocalExecutor<'static>>,
     events: Sender<Event>,
-    told: Told,
+    published: PublishedStatus,
     metrics: Rc<ReplicaMetrics>,
 }
 
-/// The child. It is essential: a replica whose disk failed must not go on, and
-/// starting it again in the same process would trust the same disk.
+/// The child that runs the replica. It is essential: a replica whose disk failed must
+/// stop, and restarting it in the same process would trust the same disk.
 fn child<E: EnginePort + 'static, P: DutyPort + 'static>(
     opened: OpenedReplica,
     events: Receiver<Event>,
-    outlets: Outlets<E, P>,
+    targets: EffectTargets<E, P>,
 ) -> ChildSpec {
     let opened = Rc::new(RefCell::new(Some(opened)));
     ChildSpec::new("replica", Restart::Essential, move |stop| {
         let opened = opened.borrow_mut().take();
         let events = events.clone();
-        let outlets = outlets.clone();
+        let targets = targets.clone();
         async move {
             match opened {
-                Some(opened) => run(opened, events, outlets, stop).await,
+                Some(opened) => run(opened, events, targets, stop).await,
                 None => Err(ChildError::new("the replica was started twice")),
             }
         }
@@ -159,7 +160,7 @@
 async fn run<E: EnginePort + 'static, P: DutyPort + 'static>(
     opened: OpenedReplica,
     events: Receiver<Event>,
-    outlets: Outlets<E, P>,
+    targets: EffectTargets<E, P>,
     stop: StopSignal,
 ) -> Result<(), ChildError> {
     let OpenedReplica {
@@ -168,38 +169,38 @@
         clock,
         ..
     } = opened;
-    let mut ticked_at = Millis::ZERO;
+    let mut last_tick = Millis::ZERO;
     while !stop.is_stopped() {
         let first = next_event(&events).await;
         replica.handle(first, clock.now());
-        for _ in 1..EVENTS_PER_SYNC {
+        for _ in 1..MAX_EVENTS_PER_SYNC {
             let Ok(event) = events.try_recv() else {
                 break;
             };
             replica.handle(event, clock.now());
         }
-        if clock.now().since(ticked_at) >= TICK {
-            ticked_at = clock.now();
-            replica.handle(Event::Tick, ticked_at);
+        if clock.now().since(last_tick) >= TICK_INTERVAL {
+            last_tick = clock.now();
+            replica.handle(Event::Tick, last_tick);
         }
-        let disk = Disk {
+        let disk_writer = DiskWriter {
             storage,
             events: &events,
-            connections: &outlets.connections,
-            metrics: &outlets.metrics,
-            leads: &outlets.told.leads,
+            connections: &targets.connections,
+            metrics: &targets.metrics,
+            leads: &targets.published.leads,
             stop: &stop,
         };
-        storage = match disk.persist(&mut replica, &clock).await {
+        storage = match disk_writer.persist(&mut replica, &clock).await {
             Ok(storage) => storage,
             Err(PersistEnd::Stopped) => return Ok(()),
             Err(PersistEnd::Failed(error)) => return Err(ChildError::new(error)),
         };
-        dispatch(&mut replica, &clock, &outlets);
-        tell(&replica, &clock, &outlets.told);
+        dispatch(&mut replica, &clock, &targets);
+        publish_status(&replica, &clock, &targets.published);
         let level = replica.level().unwrap_or_default();
-        outlets.connections.set_lowest_version(level);
-        outlets.metrics.look(&replica, clock.now());
+        targets.connections.set_min_version(level);
+        targets.metrics.update(&replica, clock.now());
         if let Some(error) = replica.failure() {
             return Err(ChildError::new(error));
         }
@@ -210,24 +211,24 @@
 async fn next_event(events: &Receiver<Event>) -> Event {
     let received = async { events.recv().await.unwrap_or(Event::Tick) };
     let tick = async {
-        Timer::after(Duration::from_millis(TICK.0)).await;
+        Timer::after(Duration::from_millis(TICK_INTERVAL.0)).await;
         Event::Tick
     };
     smol::future::or(received, tick).await
 }
 
-fn tell(replica: &Replica, clock: &Clock, told: &Told) {
+fn publish_status(replica: &Replica, clock: &Clock, published: &PublishedStatus) {
     let node = replica.node();
-    told.leads.set(node.holds_lease(clock.now()));
-    let hears_leader = node.status().leader.is_some();
-    let standing = Standing::of(node.membership(), node.id(), hears_leader);
-    *told.standing.borrow_mut() = standing;
+    published.leads.set(node.holds_lease(clock.now()));
+    let has_leader = node.status().leader.is_some();
+    let membership_status = MembershipStatus::of(node.membership(), node.id(), has_leader);
+    *published.membership_status.borrow_mut() = membership_status;
 }
 
 fn dispatch<E: EnginePort + 'static, P: DutyPort + 'static>(
     replica: &mut Replica,
     clock: &Clock,
-    outlets: &Outlets<E, P>,
+    targets: &EffectTargets<E, P>,
 ) {
     for effect in replica.take_effects() {
         match effect {
@@ -238,44 +239,44 @@
                     .members
                     .get(&envelope.to)
                     .map(|member| member.peer_address.clone());
-                outlets.connections.send_peer(address, envelope);
+                targets.connections.send_peer(address, envelope);
             }
             Effect::ReplyGateway { connection, reply } => {
-                outlets.connections.reply_gateway(connection, reply);
+                targets.connections.reply_gateway(connection, reply);
             }
             Effect::AnswerOperator { ticket, answer } => {
-                outlets.connections.answer_operator(ticket, answer);
+                targets.connections.answer_operator(ticket, answer);
             }
             Effect::AskEngine {
                 engine,
                 address,
                 request,
             } => {
-                // The clock is read anew: the process may have been paused
-                // between the decision and this line.
-                if engines::may_ask(replica, &request, clock.now()) {
-                    outlets.metrics.asked_engine(&request);
-                    let engines = outlets.engines.clone();
-                    let events = outlets.events.clone();
+                // The clock is read again, because the process may have been paused
+                // since the replica decided on the request.
+                if engines::may_send(replica, &request, clock.now()) {
+                    targets.metrics.count_engine_request(&request);
+                    let engines = targets.engines.clone();
+                    let events = targets.events.clone();
                     let ask = async move {
                         if let Some(event) = engines.ask(engine, address, request).await {
-                            // The process may be stopping.
-                            let _unheard = events.send(event).await;
+                            // The send fails only when the process is stopping.
+                            let _receiver_closed = events.send(event).await;
                         }
                     };
-                    outlets.executor.spawn(ask).detach();
+                    targets.executor.spawn(ask).detach();
                 }
             }
-            Effect::CallPlatform(call) => call_platform(replica, clock, outlets, call),
+            Effect::CallPlatform(call) => call_platform(replica, clock, targets, call),
             Effect::ForwardJoin { address, request } => {
-                outlets.connections.send_join(&address, request);
+                targets.connections.send_join(&address, request);
             }
             Effect::Balanced {
                 engine,
                 assignment,
                 occupancy,
             } => {
-                outlets.metrics.stated_role();
+                targets.metrics.count_stated_role();
                 log::info!(
                     engine = engine.as_str(),
                     role = assignment.role.as_str(),
@@ -301,7 +302,7 @@
                 "request_quarantined"
             ),
             Effect::BecameLeader { term } => {
-                outlets.metrics.became_leader();
+                targets.metrics.count_won_election();
                 log::info!(term = term; "became_leader");
             }
             Effect::LostLeadership { term } => log::info!(term = term; "lost_leadership"),
@@ -309,25 +310,25 @@
     }
 }
 
-/// Calls the platform. The clock is read anew, as for an order to an engine.
+/// Calls the platform. The clock is read again, as for an order to an engine.
 fn call_platform<E, P: DutyPort + 'static>(
     replica: &Replica,
     clock: &Clock,
-    outlets: &Outlets<E, P>,
+    targets: &EffectTargets<E, P>,
     call: DutyCall,
 ) {
     if !replica.may_call(&call, clock.now()) {
         return;
     }
-    let duties = outlets.duties.clone();
-    let events = outlets.events.clone();
-    let metrics = Rc::clone(&outlets.metrics);
-    let calling = async move {
+    let duties = targets.duties.clone();
+    let events = targets.events.clone();
+    let metrics = Rc::clone(&targets.metrics);
+    let call_task = async move {
         let answer = duties.call(call.clone()).await;
-        metrics.called_platform(&call, answer);
+        metrics.count_duty_call(&call, answer);
         log_answer(&call, answer);
-        // The process may be stopping.
-        let _unheard = events.send(Event::DutyAnswered { call, answer }).await;
+        // The send fails only when the process is stopping.
+        let _receiver_closed = events.send(Event::DutyAnswered { call, answer }).await;
     };
-    outlets.executor.spawn(calling).detach();
+    targets.executor.spawn(call_task).detach();
 }
--- a/components/control-shell/src/shutdown.rs
+++ b/components/control-shell/src/shutdown.rs
@@ -1,4 +1,4 @@
-//! A planned stop of a replica.
+//! The planned stop of a replica.
 
 use std::time::Duration;
 
@@ -7,17 +7,17 @@
 
 use crate::connections::Connections;
 
-/// Before a planned stop: asks another replica to lead, so that nobody has to
-/// wait for an election.
+/// Transfers leadership to another replica before a planned stop, so that no request
+/// waits for an election.
 pub async fn transfer_leadership(connections: Connections) {
     let change = MemberChange::TransferLeadership;
-    let asked = connections.ask(OperatorRequest::Member(change));
-    let late = async {
+    let transfer = connections.ask(OperatorRequest::Member(change));
+    let timeout = async {
         Timer::after(Duration::from_secs(1)).await;
         None
     };
-    if let Some(OperatorAnswer::Committed { .. }) = smol::future::or(asked, late).await {
-        // Time for the message to leave and the new leader to begin.
+    if let Some(OperatorAnswer::Committed { .. }) = smol::future::or(transfer, timeout).await {
+        // Leaves time for the message to be sent and the new leader to start.
         Timer::after(Duration::from_millis(300)).await;
     }
 }
--- a/components/control-shell/tests/disk_space.rs
+++ b/components/control-shell/tests/disk_space.rs
@@ -1,4 +1,4 @@
-//! A replica waits for a full disk, and for nothing else.
+//! A replica waits while its disk is full, and returns any other error at once.
 
 use std::cell::Cell;
 use std::io;
@@ -6,7 +6,7 @@
 use garnet_control_shell::wait_for_space;
 
 #[test]
-fn a_full_disk_is_waited_for() {
+fn opening_is_retried_while_the_disk_is_full() {
     let mut answers = [true, true, false].into_iter();
     let pauses = Cell::new(0);
     let open = || match answers.next() {
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn any_other_error_is_told_at_once() {
+fn any_other_error_is_returned_at_once() {
     let open = || -> io::Result<()> { Err(io::ErrorKind::PermissionDenied.into()) };
     let opened = wait_for_space(open, || panic!("nothing to wait for"));
     let error = opened.expect_err("it can't be opened");
--- a/components/control-shell/tests/peer_link.rs
+++ b/components/control-shell/tests/peer_link.rs
@@ -1,4 +1,4 @@
-//! A connection that rests is over when its peer closes it.
+//! An idle connection ends when its peer closes it.
 
 use std::time::Duration;
 
@@ -12,8 +12,8 @@
 use smol::channel::unbounded;
 use smol::net::TcpListener;
 
-/// Far longer than the end of a connection takes to be seen.
-const HANGS: Duration = Duration::from_secs(30);
+/// Far longer than it takes to detect the end of a connection.
+const DETECTION_TIMEOUT: Duration = Duration::from_secs(30);
 
 fn frame() -> Frame {
     Frame::Peer(Envelope {
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn the_end_of_a_resting_connection_is_seen_before_a_frame_is_lost_on_it() {
+fn the_end_of_an_idle_connection_is_detected_before_a_frame_is_lost() {
     smol::block_on(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("an address").to_string();
@@ -48,18 +48,18 @@
         let (_sender, queued) = unbounded();
         let peer = async {
             let (mut reader, writer) = accepted;
-            let heard = reader.next().await.expect("a sound frame");
-            // The peer is started again: its end of the connection closes.
+            let received = reader.next().await.expect("a sound frame");
+            // The peer restarts, which closes its end of the connection.
             drop((reader, writer));
-            heard
+            received
         };
-        let carrying = smol::future::zip(send_frames(reader, writer, frame(), &queued), peer);
-        let hangs = async {
-            Timer::after(HANGS).await;
+        let sending = smol::future::zip(send_frames(reader, writer, frame(), &queued), peer);
+        let timeout = async {
+            Timer::after(DETECTION_TIMEOUT).await;
             panic!("the end was not seen");
         };
-        let (end, heard) = smol::future::or(carrying, hangs).await;
+        let (end, received) = smol::future::or(sending, timeout).await;
         assert_eq!(end, LinkEnd::Closed);
-        assert_eq!(heard, Some(frame()));
+        assert_eq!(received, Some(frame()));
     });
 }
