--- a/components/control-shell/src/data_folder.rs
+++ b/components/control-shell/src/data_folder.rs
@@ -17,8 +17,7 @@
 use crate::disk_space::wait_for_space;
 use crate::joining::MemberAddress;
 
-/// Holds the initial group of a replica that is one of its first members, for later
-/// starts.
+/// File in which an initial member of the group keeps the initial group for later starts.
 const INITIAL_GROUP_FILE: &str = "first-group";
 /// How often opening is retried on a full disk. It blocks the thread, since nothing else
 /// runs yet.
--- a/components/control-shell/src/directory.rs
+++ b/components/control-shell/src/directory.rs
@@ -44,7 +44,7 @@
     fn read(&self) -> impl Future<Output = Result<ListedMachines, DirectoryError>>;
     /// Delay between two reads.
     fn interval(&self) -> Duration;
-    /// Whether only the leader reads the list, because each request is billed.
+    /// Whether only the leader reads the list, because each request has a cost.
     fn leader_only(&self) -> bool;
 }
 
--- a/components/control-shell/src/joining.rs
+++ b/components/control-shell/src/joining.rs
@@ -50,7 +50,8 @@
     }
 }
 
-/// A child that sends requests to join while the replica is no member with a leader.
+/// A child that sends requests to join while the replica is not a member or
+/// has no leader.
 pub(crate) fn child(
     request: JoinRequest,
     addresses: GroupAddresses,
--- a/components/storage/src/replica.rs
+++ b/components/storage/src/replica.rs
@@ -16,7 +16,7 @@
 use crate::frame;
 use crate::value::{TEMPORARY_SUFFIX, decode, encode, load_value, save_value};
 
-/// Size from which on a segment is closed and the next one started.
+/// Size at which a segment is closed and the next one is started.
 const SEGMENT_BYTES: u64 = 1 << 20;
 const SEGMENT_PREFIX: &str = "segment-";
 const SNAPSHOT_PREFIX: &str = "snapshot-";
@@ -390,8 +390,8 @@
 /// Drops entries that a snapshot from a leader replaced just before a crash.
 ///
 /// Terms never decrease along a log. An entry after the snapshot with a lower term
-/// belongs to a log that was superseded. Keeping it would give this replica a lower last
-/// term than it has, which counts when it votes.
+/// belongs to a log that was superseded. Keeping it would make this replica's log look
+/// older in elections than it is.
 fn discard_replaced_log(recovered: &mut Recovered) {
     let snapshot_term = recovered.snapshot.as_ref().map_or(0, |s| s.term);
     let replaced = recovered
--- a/components/wire/tests/upgrade/encodings.rs
+++ b/components/wire/tests/upgrade/encodings.rs
@@ -2,7 +2,7 @@
 //!
 //! A failure here means that an encoding changed. Such a change needs a new version, and
 //! the previous encoding is kept in its own module (docs/design/encoding-versions.md).
-//! Recorded files of a released version are never rewritten. Missing files of a new
+//! Recorded files of a merged version are never rewritten. Missing files of a new
 //! version are written by this test with `RECORD_ENCODINGS=1`.
 
 use asynchronous_codec::{BytesMut, Decoder, Encoder};
