--- a/components/forwarding-shell/src/attempt.rs
+++ b/components/forwarding-shell/src/attempt.rs
@@ -8,22 +8,22 @@
 use garnet_types::{BackendId, Millis};
 use hyper::StatusCode;
 
+use crate::backend_reports::note_reports;
 use crate::gateway::Gateway;
-use crate::ports::{BackendPort, Call, CallerPort, HeadMeaning, Job, JobPhase, ReadHead};
-use crate::reported::note_reports;
+use crate::ports::{BackendPort, Call, CallerPort, HeadMeaning, Job, JobPhase, ParsedHead};
 
 /// Counts an attempt as under way until it is dropped.
 pub(crate) struct AttemptGuard<C: CallerPort, B: BackendPort> {
     gateway: Rc<Gateway<C, B>>,
     backend: BackendId,
     prompt: Option<Prompt>,
-    rank: u8,
+    engine_priority: u8,
     prefill_work: PrefillWork,
     /// Since when the request has its place there, where the engine generates.
-    generates_since: Option<Millis>,
+    decode_since: Option<Millis>,
     /// Whether the prompt was prefilled.
-    read: bool,
-    judged: bool,
+    is_prefilled: bool,
+    outcome_recorded: bool,
     /// Set while the attempt probes a back end that recovers from a backoff.
     probe: Option<Probe>,
 }
@@ -48,17 +48,17 @@
                 PrefillWork::default()
             }
         };
-        let generates = prompt.is_some() && !matches!(job.phase, JobPhase::Prefill(_));
+        let decodes = prompt.is_some() && !matches!(job.phase, JobPhase::Prefill(_));
         drop(forwarder);
         AttemptGuard {
             gateway: Rc::clone(gateway),
             backend,
             prompt: prompt.cloned(),
-            rank: job.priority,
+            engine_priority: job.priority,
             prefill_work,
-            generates_since: generates.then_some(now),
-            read: false,
-            judged: false,
+            decode_since: decodes.then_some(now),
+            is_prefilled: false,
+            outcome_recorded: false,
             probe,
         }
     }
@@ -70,13 +70,13 @@
 
     /// The prompt is prefilled: the first event is there.
     pub(crate) fn prefill_done(&mut self) {
-        if std::mem::replace(&mut self.read, true) {
+        if std::mem::replace(&mut self.is_prefilled, true) {
             return;
         }
         let now = self.gateway.now();
         let uncached = std::mem::take(&mut self.prefill_work.uncached);
         let mut forwarder = self.gateway.forwarder.borrow_mut();
-        forwarder.prefilled(&self.backend, self.rank, uncached);
+        forwarder.prefilled(&self.backend, self.engine_priority, uncached);
         if let Some(prompt) = &self.prompt {
             forwarder.note_cached(&self.backend, prompt, now);
         }
@@ -92,18 +92,18 @@
 
     /// The back end did well.
     pub(crate) fn succeeded(&mut self) {
-        self.judged = true;
+        self.outcome_recorded = true;
         let now = self.gateway.now();
         let mut forwarder = self.gateway.forwarder.borrow_mut();
         forwarder.succeeded(&self.backend);
-        if let (Some(since), Some(prompt)) = (self.generates_since, &self.prompt) {
+        if let (Some(since), Some(prompt)) = (self.decode_since, &self.prompt) {
             forwarder.note_slot_time(&self.backend, prompt, now.since(since));
         }
     }
 
     /// The back end failed.
     pub(crate) fn failed(&mut self) {
-        self.judged = true;
+        self.outcome_recorded = true;
         let now = self.gateway.now();
         let mut forwarder = self.gateway.forwarder.borrow_mut();
         forwarder.failed(&self.backend, now);
@@ -136,7 +136,7 @@
 
     /// Nothing of the request can have reached the back end.
     fn unreachable(&mut self) {
-        self.judged = true;
+        self.outcome_recorded = true;
         let now = self.gateway.now();
         let mut forwarder = self.gateway.forwarder.borrow_mut();
         forwarder.unreachable(&self.backend, now);
@@ -144,7 +144,7 @@
 
     /// The back end was silent for too long.
     pub(crate) fn silent(&mut self) {
-        self.judged = true;
+        self.outcome_recorded = true;
         let now = self.gateway.now();
         let mut forwarder = self.gateway.forwarder.borrow_mut();
         forwarder.silent(&self.backend, now);
@@ -152,7 +152,7 @@
 
     /// The back end is not the one that was meant.
     fn gone(&mut self) {
-        self.judged = true;
+        self.outcome_recorded = true;
         let mut forwarder = self.gateway.forwarder.borrow_mut();
         forwarder.gone(&self.backend);
     }
@@ -161,9 +161,13 @@
 impl<C: CallerPort, B: BackendPort> Drop for AttemptGuard<C, B> {
     fn drop(&mut self) {
         let mut forwarder = self.gateway.forwarder.borrow_mut();
-        forwarder.prefilled(&self.backend, self.rank, self.prefill_work.uncached);
-        forwarder.ended(&self.backend, self.rank, self.prompt.as_ref());
-        if !self.judged {
+        forwarder.prefilled(
+            &self.backend,
+            self.engine_priority,
+            self.prefill_work.uncached,
+        );
+        forwarder.ended(&self.backend, self.engine_priority, self.prompt.as_ref());
+        if !self.outcome_recorded {
             forwarder.released(&self.backend);
         }
         if let Some(probe) = self.probe.take() {
@@ -173,7 +177,7 @@
             && let Some(backend) = forwarder.backend(&self.backend)
         {
             let service = &backend.registration.service;
-            self.gateway.connections.freed(service);
+            self.gateway.connections.on_connection_freed(service);
         }
     }
 }
@@ -218,23 +222,23 @@
         let forwarder = gateway.forwarder.borrow();
         forwarder.is_available(&job.backend, gateway.now())
     };
-    let most_idle = {
+    let max_idle = {
         let forwarder = gateway.forwarder.borrow();
         forwarder.connection_share(&job.backend).idle
     };
     let sent = gateway
         .pool
-        .send_if(&address, request, most_idle, is_available)
+        .send_if(&address, request, max_idle, is_available)
         .await;
     let result = match sent {
         Ok(exchange) => {
-            let read = gateway.backends.read_head(call, job, &exchange.head);
+            let parsed = gateway.backends.read_head(call, job, &exchange.head);
             let status = exchange.head.status;
-            note_reports(gateway, call, job, &read, status, sent_at);
-            if read.meaning == HeadMeaning::Answer && read.retry_after.is_none() {
+            note_reports(gateway, call, job, &parsed, status, sent_at);
+            if parsed.meaning == HeadMeaning::Answer && parsed.retry_after.is_none() {
                 guard.accepted();
             }
-            take_head(gateway, call, job, read, exchange, guard).await
+            on_head(gateway, call, job, parsed, exchange, guard).await
         }
         Err(error) => {
             match error {
@@ -244,7 +248,7 @@
                 HttpError::TooLong(_) | HttpError::TimedOut => guard.failed(),
             }
             log_failure(call, job, &error.to_string());
-            Err(end_of(&error))
+            Err(attempt_end(&error))
         }
     };
     let outcome = result.as_ref().err().map_or("answer", |end| end.as_str());
@@ -274,35 +278,35 @@
     );
 }
 
-fn end_of(error: &HttpError) -> AttemptEnd {
+fn attempt_end(error: &HttpError) -> AttemptEnd {
     match error {
         HttpError::NotSent(_) | HttpError::Withheld => AttemptEnd::Unsent,
         HttpError::Broken(_) | HttpError::TooLong(_) | HttpError::TimedOut => AttemptEnd::Broken,
     }
 }
 
-async fn take_head<C: CallerPort, B: BackendPort>(
+async fn on_head<C: CallerPort, B: BackendPort>(
     gateway: &Rc<Gateway<C, B>>,
     call: &Call,
     job: &Job,
-    read: ReadHead,
+    parsed: ParsedHead,
     mut exchange: Exchange,
     mut guard: AttemptGuard<C, B>,
 ) -> Result<OpenAnswer<C, B>, AttemptEnd> {
-    if let Some(load) = read.load {
+    if let Some(load) = parsed.load {
         let now = gateway.now();
         let mut forwarder = gateway.forwarder.borrow_mut();
         forwarder.note_load_report(&job.backend, load, now);
     }
-    gateway.unknown_names.note(&gateway.metrics, job, &read);
-    let end = match read.meaning {
+    gateway.unknown_headers.note(&gateway.metrics, job, &parsed);
+    let end = match parsed.meaning {
         HeadMeaning::Answer => return Ok(OpenAnswer { exchange, guard }),
         HeadMeaning::NotRun(reason) => AttemptEnd::NotRun(reason),
         HeadMeaning::AnotherBackend => {
             guard.gone();
             AttemptEnd::NotRun(NotRunReason::Misdirected)
         }
-        HeadMeaning::Foreign => {
+        HeadMeaning::OtherRequest => {
             // Its own answer may still come on this connection, which is
             // closed: what was asked may run.
             log_failure(call, job, "the answer belongs to another request");
@@ -311,17 +315,17 @@
     };
     log_failure(call, job, end.as_str());
     // A short body; read to its end, the connection can be kept.
-    if exchange.read_whole(SHORT_BODY).await.is_ok() {
+    if exchange.read_whole(MAX_NOT_RUN_BODY_BYTES).await.is_ok() {
         exchange.finish();
     }
     Err(end)
 }
 
 /// Longest body of an answer that tells why a request did not run.
-const SHORT_BODY: usize = 64 * 1024;
+const MAX_NOT_RUN_BODY_BYTES: usize = 64 * 1024;
 
 /// The cause in the log of a back end's own failure.
-pub(crate) fn failed_with(status: StatusCode) -> String {
+pub(crate) fn status_cause(status: StatusCode) -> String {
     format!("status {}", status.as_u16())
 }
 
--- a/components/forwarding-shell/src/reported.rs
+++ b/components/forwarding-shell/src/backend_reports.rs
@@ -6,22 +6,22 @@
 
 use crate::attempt::phase_name;
 use crate::gateway::Gateway;
-use crate::ports::{BackendPort, Call, CallerPort, HeadMeaning, Job, ReadHead};
+use crate::ports::{BackendPort, Call, CallerPort, HeadMeaning, Job, ParsedHead};
 
 /// Takes what an answer reports, to a job that was sent at `sent_at`.
 pub(crate) fn note_reports<C: CallerPort, B: BackendPort>(
     gateway: &Gateway<C, B>,
     call: &Call,
     job: &Job,
-    read: &ReadHead,
+    parsed: &ParsedHead,
     status: StatusCode,
     sent_at: Millis,
 ) {
-    note_limit(gateway, job, read, status, sent_at);
+    note_limit(gateway, job, parsed, status, sent_at);
     // Another back end at the address reports on itself.
-    if read.meaning != HeadMeaning::AnotherBackend {
-        note_backoff(gateway, call, job, read);
-        note_draining(gateway, job, read);
+    if parsed.meaning != HeadMeaning::AnotherBackend {
+        note_backoff(gateway, call, job, parsed);
+        note_draining(gateway, job, parsed);
     }
 }
 
@@ -29,11 +29,11 @@
 fn note_limit<C: CallerPort, B: BackendPort>(
     gateway: &Gateway<C, B>,
     job: &Job,
-    read: &ReadHead,
+    parsed: &ParsedHead,
     status: StatusCode,
     sent_at: Millis,
 ) {
-    let said = match (read.meaning, read.limit) {
+    let reported = match (parsed.meaning, parsed.limit) {
         (HeadMeaning::Answer | HeadMeaning::NotRun(_), ReportedLimit::Limited(rate)) => {
             ReportedLimit::Limited(rate)
         }
@@ -44,7 +44,7 @@
     };
     let now = gateway.now();
     let mut forwarder = gateway.forwarder.borrow_mut();
-    if let Some(rate) = forwarder.note_limit(&job.backend, said, sent_at, now) {
+    if let Some(rate) = forwarder.note_limit(&job.backend, reported, sent_at, now) {
         log::info!(
             backend = job.backend.as_str(),
             rate_per_s = rate.to_string().as_str();
@@ -57,9 +57,9 @@
     gateway: &Gateway<C, B>,
     call: &Call,
     job: &Job,
-    read: &ReadHead,
+    parsed: &ParsedHead,
 ) {
-    let Some(retry_after) = read.retry_after else {
+    let Some(retry_after) = parsed.retry_after else {
         return;
     };
     // It outlasts the request that met it: the next one would be rejected as well, and
@@ -80,9 +80,9 @@
 fn note_draining<C: CallerPort, B: BackendPort>(
     gateway: &Gateway<C, B>,
     job: &Job,
-    read: &ReadHead,
+    parsed: &ParsedHead,
 ) {
-    if !read.draining {
+    if !parsed.draining {
         return;
     }
     let now = gateway.now();
--- a/components/forwarding-shell/src/whole.rs
+++ b/components/forwarding-shell/src/buffered.rs
@@ -14,36 +14,40 @@
 use hyper::http::response::Parts;
 
 use crate::answers::OwnAnswer;
-use crate::attempt::{attempt, failed_with, log_failure, note_silent};
+use crate::attempt::{attempt, log_failure, note_silent, status_cause};
+use crate::failover::{admit_hedge, can_fail_over, on_attempt_ended, place_apart};
 use crate::gateway::Gateway;
-use crate::going_on::{apart, can_go_elsewhere, go_on, go_on_beside};
 use crate::headers::remove_connection_headers;
 use crate::permits::{NotPlaced, place_within_limits};
 use crate::ports::{BackendPort, Call, CallerPort, Job, JobPhase};
 use crate::request::{
-    Running, finished, given_up_answer, log_no_back_end, note_begun, own_answer, until,
+    RunningRequest, given_up_answer, log_no_back_end, note_begun, own_answer, record_end,
+    sleep_until_due,
 };
-use crate::waiting::within;
+use crate::timeout::with_timeout;
 
 /// Longest answer that is held while it is read.
-const LONGEST_ANSWER: usize = 16 * 1024 * 1024;
+const MAX_ANSWER_BYTES: usize = 16 * 1024 * 1024;
 
 /// What is passed on.
-struct WholeAnswer {
+struct BufferedAnswer {
     head: Parts,
     body: Bytes,
 }
 
 /// Serves the request until its time is over.
-pub(crate) async fn serve<C, B>(gateway: &Rc<Gateway<C, B>>, mut running: Running) -> Response<Body>
+pub(crate) async fn serve<C, B>(
+    gateway: &Rc<Gateway<C, B>>,
+    mut running: RunningRequest,
+) -> Response<Body>
 where
     C: CallerPort + 'static,
     B: BackendPort + 'static,
 {
     let due = running.due;
-    let working = async { Some(work(gateway, &mut running).await) };
+    let working = async { Some(run(gateway, &mut running).await) };
     let late = async {
-        until(gateway, due).await;
+        sleep_until_due(gateway, due).await;
         None
     };
     match smol::future::or(working, late).await {
@@ -68,10 +72,10 @@
 }
 
 /// Has one back end after the other do it, until one answers.
-async fn work<C, B>(
+async fn run<C, B>(
     gateway: &Rc<Gateway<C, B>>,
-    running: &mut Running,
-) -> Result<WholeAnswer, NotServed>
+    running: &mut RunningRequest,
+) -> Result<BufferedAnswer, NotServed>
 where
     C: CallerPort + 'static,
     B: BackendPort + 'static,
@@ -84,20 +88,20 @@
             Err(not_placed) => return failure.ok_or(not_served(gateway, running, not_placed)),
         };
         running.served_by = Some(backend.clone());
-        let job = whole_job(gateway, running, backend.clone());
+        let job = job_for(gateway, running, backend.clone());
         let call = Rc::clone(&running.call);
         let begun = Rc::clone(&running.begun);
-        let mut trying = pin!(try_once(gateway, &call, &begun, &job));
-        let time_limit = running.may_move_on().then_some(running.silence.answer);
-        let tried = loop {
-            if let Some(tried) = within(time_limit, trying.as_mut()).await {
-                break tried;
+        let mut attempting = pin!(attempt_once(gateway, &call, &begun, &job));
+        let time_limit = running.may_fail_over().then_some(running.silence.answer);
+        let attempted = loop {
+            if let Some(attempted) = with_timeout(time_limit, attempting.as_mut()).await {
+                break attempted;
             }
-            if begin_beside(gateway, running, &job) {
-                return work_beside(gateway, running, trying, &job).await;
+            if begin_hedge(gateway, running, &job) {
+                return run_hedged(gateway, running, attempting, &job).await;
             }
         };
-        let end = match tried {
+        let end = match attempted {
             Ok(answer) if !is_failure(&answer) => return Ok(answer),
             Ok(answer) => {
                 failure = Some(answer);
@@ -106,7 +110,7 @@
             Err(end) => end,
         };
         running.tried.push(backend);
-        if let Err(given_up) = go_on(gateway, running, end) {
+        if let Err(given_up) = on_attempt_ended(gateway, running, end) {
             return failure.ok_or(NotServed::GivenUp(given_up));
         }
     }
@@ -114,7 +118,7 @@
 
 fn not_served<C: CallerPort, B: BackendPort>(
     gateway: &Gateway<C, B>,
-    running: &Running,
+    running: &RunningRequest,
     not_placed: NotPlaced,
 ) -> NotServed {
     match not_placed {
@@ -122,78 +126,77 @@
             NotServed::Unavailable(retry_after)
         }
         NotPlaced::Unavailable(_) => NotServed::GivenUp(running.progress.given_up()),
-        NotPlaced::Nobody => {
+        NotPlaced::NoBackend => {
             log_no_back_end(gateway, running);
             NotServed::GivenUp(running.progress.given_up())
         }
     }
 }
 
-/// Whether others may do the work beside a back end that is silent.
-fn begin_beside<C: CallerPort, B: BackendPort>(
+/// Whether hedge may do the work beside a back end that is silent.
+fn begin_hedge<C: CallerPort, B: BackendPort>(
     gateway: &Gateway<C, B>,
-    running: &mut Running,
+    running: &mut RunningRequest,
     job: &Job,
 ) -> bool {
     if !running.tried.contains(&job.backend) {
         note_silent(gateway, &running.call, job);
         running.tried.push(job.backend.clone());
     }
-    can_go_elsewhere(gateway, running, false)
-        && go_on_beside(gateway, running, Progress::silent_begun)
+    can_fail_over(gateway, running, false) && admit_hedge(gateway, running, Progress::silent_begun)
 }
 
-/// Has others do the work beside a back end that is silent: whoever answers first
+/// Has hedge do the work beside a back end that is silent: whoever answers first
 /// has done it, and the other one is closed.
 ///
 /// Invariant: the silent one is closed once another one has answered, not before.
-/// The others may be full or silent themselves, while this one is about to answer.
-async fn work_beside<C, B>(
+/// The hedge may be full or silent themselves, while this one is about to answer.
+async fn run_hedged<C, B>(
     gateway: &Rc<Gateway<C, B>>,
-    running: &mut Running,
-    mut silent: Pin<&mut impl Future<Output = Result<WholeAnswer, AttemptEnd>>>,
+    running: &mut RunningRequest,
+    mut silent: Pin<&mut impl Future<Output = Result<BufferedAnswer, AttemptEnd>>>,
     job: &Job,
-) -> Result<WholeAnswer, NotServed>
+) -> Result<BufferedAnswer, NotServed>
 where
     C: CallerPort + 'static,
     B: BackendPort + 'static,
 {
-    let (silent, others) = {
-        let mut others: Pin<Box<dyn Future<Output = _>>> = Box::pin(work(gateway, running));
+    let (silent, hedge) = {
+        let mut hedge: Pin<Box<dyn Future<Output = _>>> = Box::pin(run(gateway, running));
         let first = {
             let silent = async { First::Silent(silent.as_mut().await) };
-            let others = async { First::Others(others.as_mut().await) };
-            smol::future::or(silent, others).await
+            let hedge = async { First::Hedge(hedge.as_mut().await) };
+            smol::future::or(silent, hedge).await
         };
         match first {
             First::Silent(Ok(answer)) if !is_failure(&answer) => (Ok(answer), None),
-            First::Silent(ended) => (ended, Some(others.await)),
-            First::Others(Ok(answer)) if !is_failure(&answer) => return Ok(answer),
-            First::Others(ended) => (silent.await, Some(ended)),
+            First::Silent(ended) => (ended, Some(hedge.await)),
+            First::Hedge(Ok(answer)) if !is_failure(&answer) => return Ok(answer),
+            First::Hedge(ended) => (silent.await, Some(ended)),
         }
     };
     // A success first, then an answer of the back ends' own, then what giving up
     // means.
     let is_success = silent.as_ref().is_ok_and(|answer| !is_failure(answer));
-    match (silent, others) {
-        (Ok(answer), others) if is_success || !matches!(others, Some(Ok(_))) => {
+    match (silent, hedge) {
+        (Ok(answer), hedge) if is_success || !matches!(hedge, Some(Ok(_))) => {
             running.served_by = Some(job.backend.clone());
             Ok(answer)
         }
-        (_, Some(others)) => others,
+        (_, Some(hedge)) => hedge,
         (_, None) => Err(NotServed::GivenUp(running.progress.given_up())),
     }
 }
 
 /// Who came to an end first.
 enum First {
-    Silent(Result<WholeAnswer, AttemptEnd>),
-    Others(Result<WholeAnswer, NotServed>),
+    Silent(Result<BufferedAnswer, AttemptEnd>),
+    Hedge(Result<BufferedAnswer, NotServed>),
 }
 
-fn whole_job<C: CallerPort, B: BackendPort>(
+fn job_for<C: CallerPort, B: BackendPort>(
     gateway: &Gateway<C, B>,
-    running: &Running,
+    running: &RunningRequest,
     backend: BackendId,
 ) -> Job {
     Job {
@@ -207,7 +210,7 @@
 
 fn place<C: CallerPort, B: BackendPort>(
     gateway: &Gateway<C, B>,
-    running: &Running,
+    running: &RunningRequest,
 ) -> Option<BackendId> {
     let place = |tried: &[BackendId]| {
         let now = gateway.now();
@@ -218,15 +221,15 @@
             Placement::Handover { .. } => None,
         }
     };
-    apart(gateway, running, place)
+    place_apart(gateway, running, place)
 }
 
-async fn try_once<C, B>(
+async fn attempt_once<C, B>(
     gateway: &Rc<Gateway<C, B>>,
     call: &Call,
     begun: &Cell<bool>,
     job: &Job,
-) -> Result<WholeAnswer, AttemptEnd>
+) -> Result<BufferedAnswer, AttemptEnd>
 where
     C: CallerPort + 'static,
     B: BackendPort + 'static,
@@ -237,8 +240,8 @@
         note_begun(gateway, call, begun, began);
     }
     let mut open = opened?;
-    let read = open.exchange.read_whole(LONGEST_ANSWER).await;
-    match read {
+    let body_read = open.exchange.read_whole(MAX_ANSWER_BYTES).await;
+    match body_read {
         Ok(body) => {
             if open.exchange.tells_end() {
                 open.guard.completed(call);
@@ -246,13 +249,13 @@
             let status = open.exchange.head.status;
             if status.is_server_error() {
                 open.guard.failed();
-                log_failure(call, job, &failed_with(status));
+                log_failure(call, job, &status_cause(status));
             } else {
                 open.guard.succeeded();
             }
             let head = copy_head(&open.exchange.head);
             open.exchange.finish();
-            Ok(WholeAnswer { head, body })
+            Ok(BufferedAnswer { head, body })
         }
         Err(error) => {
             match &error {
@@ -275,7 +278,7 @@
     }
 }
 
-fn is_failure(answer: &WholeAnswer) -> bool {
+fn is_failure(answer: &BufferedAnswer) -> bool {
     answer.head.status.is_server_error()
 }
 
@@ -288,10 +291,10 @@
 
 fn pass_on<C: CallerPort, B: BackendPort>(
     gateway: &Gateway<C, B>,
-    running: &Running,
-    answer: WholeAnswer,
+    running: &RunningRequest,
+    answer: BufferedAnswer,
 ) -> Response<Body> {
     let status = answer.head.status.as_u16();
-    finished(gateway, running, "answered", status);
+    record_end(gateway, running, "answered", status);
     Response::from_parts(answer.head, bytes_body(answer.body))
 }
--- a/components/forwarding-shell/src/connection_queue.rs
+++ b/components/forwarding-shell/src/connection_queue.rs
@@ -8,25 +8,25 @@
 use garnet_types::{Millis, ServiceId};
 use smol::channel::{Receiver, Sender, bounded};
 
+use crate::failover::may_be_sent;
 use crate::gateway::Gateway;
-use crate::going_on::may_be_sent;
 use crate::ports::{BackendPort, CallerPort};
-use crate::request::Running;
-use crate::waiting::within;
+use crate::request::RunningRequest;
+use crate::timeout::with_timeout;
 
 /// A waiting request looks again after this time: another back end may have come.
-const LOOK_AGAIN: Millis = Millis(100);
+const RECHECK_INTERVAL: Millis = Millis(100);
 /// A request whose objective is over waits for this part of it for another attempt.
-const LATE_WAIT_PART: u64 = 4;
+const LATE_WAIT_DIVISOR: u64 = 4;
 
 /// Rank of a waiting request, and its number.
-type Place = (u8, u64);
+type QueueKey = (u8, u64);
 
 /// Waiting requests by service, the most urgent first.
 #[derive(Default)]
 pub(crate) struct ConnectionQueue {
-    waiting: RefCell<BTreeMap<ServiceId, BTreeMap<Place, Sender<()>>>>,
-    joined: Cell<u64>,
+    waiting: RefCell<BTreeMap<ServiceId, BTreeMap<QueueKey, Sender<()>>>>,
+    last_number: Cell<u64>,
 }
 
 impl ConnectionQueue {
@@ -36,7 +36,7 @@
     }
 
     /// A connection to a back end of the service is free.
-    pub(crate) fn freed(&self, service: &ServiceId) {
+    pub(crate) fn on_connection_freed(&self, service: &ServiceId) {
         if let Some(waiting) = self.waiting.borrow().get(service)
             && let Some(first) = waiting.values().next()
         {
@@ -46,25 +46,25 @@
     }
 
     /// Wakes the next request after one that could not use what became free.
-    fn pass_on(&self, service: &ServiceId, place: Place) {
+    fn wake_next(&self, service: &ServiceId, key: QueueKey) {
         let waiting = self.waiting.borrow();
         let mut later = waiting.get(service).into_iter().flatten();
-        if let Some((_, next)) = later.find(|(other, _)| **other > place) {
+        if let Some((_, next)) = later.find(|(other, _)| **other > key) {
             let _awake = next.try_send(());
         }
     }
 
-    fn join(&self, service: &ServiceId, rank: u8) -> Waiter<'_> {
-        let number = self.joined.get() + 1;
-        self.joined.set(number);
+    fn join(&self, service: &ServiceId, work_priority: u8) -> Waiter<'_> {
+        let number = self.last_number.get() + 1;
+        self.last_number.set(number);
         let (wake, woken) = bounded(1);
         let mut waiting = self.waiting.borrow_mut();
         let of_service = waiting.entry(service.clone()).or_default();
-        of_service.insert((rank, number), wake);
+        of_service.insert((work_priority, number), wake);
         Waiter {
             queue: self,
             service: service.clone(),
-            place: (rank, number),
+            key: (work_priority, number),
             woken,
         }
     }
@@ -74,24 +74,24 @@
 struct Waiter<'a> {
     queue: &'a ConnectionQueue,
     service: ServiceId,
-    place: Place,
+    key: QueueKey,
     woken: Receiver<()>,
 }
 
 impl Waiter<'_> {
-    fn pass_on(&self) {
-        self.queue.pass_on(&self.service, self.place);
+    fn wake_next(&self) {
+        self.queue.wake_next(&self.service, self.key);
     }
 }
 
 impl Drop for Waiter<'_> {
     fn drop(&mut self) {
         if self.woken.try_recv().is_ok() {
-            self.pass_on();
+            self.wake_next();
         }
         let mut waiting = self.queue.waiting.borrow_mut();
         if let Some(of_service) = waiting.get_mut(&self.service) {
-            of_service.remove(&self.place);
+            of_service.remove(&self.key);
             if of_service.is_empty() {
                 waiting.remove(&self.service);
             }
@@ -104,7 +104,7 @@
     /// It is placed.
     Placed(T),
     /// Nothing that would become free could take it.
-    InVain,
+    NotPlaceable,
     /// It has waited for as long as is useful: when to come back.
     TooLong(Millis),
 }
@@ -112,7 +112,7 @@
 /// Places a request as soon as a connection for it is free.
 pub(crate) async fn wait_for_connection<C, B, T>(
     gateway: &Gateway<C, B>,
-    running: &Running,
+    running: &RunningRequest,
     place: impl Fn() -> Option<T>,
 ) -> Waited<T>
 where
@@ -120,7 +120,7 @@
     B: BackendPort,
 {
     if !awaits_connection(gateway, running) {
-        return Waited::InVain;
+        return Waited::NotPlaceable;
     }
     let began = gateway.now();
     let until = wait_until(running, began);
@@ -128,23 +128,23 @@
         .connections
         .join(&running.service, running.work.priority);
     let waited = loop {
-        let left = until.since(gateway.now());
-        if left == Millis::ZERO {
+        let remaining = until.since(gateway.now());
+        if remaining == Millis::ZERO {
             let waited = gateway.now().since(began);
             break Waited::TooLong(waited.max(MIN_RETRY_AFTER));
         }
-        let woken = within(Some(left.min(LOOK_AGAIN)), waiter.woken.recv()).await;
+        let woken = with_timeout(Some(remaining.min(RECHECK_INTERVAL)), waiter.woken.recv()).await;
         if !may_be_sent(gateway, running) {
-            break Waited::InVain;
+            break Waited::NotPlaceable;
         }
         if let Some(placed) = place() {
             break Waited::Placed(placed);
         }
         if woken.is_some() {
-            waiter.pass_on();
+            waiter.wake_next();
         }
         if !awaits_connection(gateway, running) {
-            break Waited::InVain;
+            break Waited::NotPlaceable;
         }
     };
     note_waited(gateway, running, &waited, began);
@@ -153,9 +153,9 @@
 
 fn awaits_connection<C: CallerPort, B: BackendPort>(
     gateway: &Gateway<C, B>,
-    running: &Running,
+    running: &RunningRequest,
 ) -> bool {
-    let Running {
+    let RunningRequest {
         service,
         work,
         tried,
@@ -167,22 +167,22 @@
 
 /// Until when waiting is of use: an answer within the objective, or soon after it for a
 /// request that was tried before.
-fn wait_until(running: &Running, now: Millis) -> Millis {
+fn wait_until(running: &RunningRequest, now: Millis) -> Millis {
     let objective = running.work.objective;
     let in_time = running.arrived + objective;
-    let late = now + Millis(objective.0 / LATE_WAIT_PART);
+    let late = now + Millis(objective.0 / LATE_WAIT_DIVISOR);
     in_time.max(late).min(running.due)
 }
 
 fn note_waited<C: CallerPort, B: BackendPort, T>(
     gateway: &Gateway<C, B>,
-    running: &Running,
+    running: &RunningRequest,
     waited: &Waited<T>,
     began: Millis,
 ) {
     let outcome = match waited {
         Waited::Placed(_) => "placed",
-        Waited::InVain => "in_vain",
+        Waited::NotPlaceable => "in_vain",
         Waited::TooLong(_) => "too_long",
     };
     gateway.metrics.connection_wait(outcome);
--- a/components/forwarding-shell/src/going_on.rs
+++ b/components/forwarding-shell/src/failover.rs
@@ -6,15 +6,15 @@
 
 use crate::gateway::Gateway;
 use crate::ports::{BackendPort, Call, CallerPort};
-use crate::request::Running;
+use crate::request::RunningRequest;
 
 /// Notes the end of an attempt, and whether another one may follow it.
 ///
 /// # Errors
 /// What giving the request up means, where none may.
-pub(crate) fn go_on<C: CallerPort, B: BackendPort>(
+pub(crate) fn on_attempt_ended<C: CallerPort, B: BackendPort>(
     gateway: &Gateway<C, B>,
-    running: &mut Running,
+    running: &mut RunningRequest,
     end: AttemptEnd,
 ) -> Result<(), GivenUp> {
     running.progress.note(end);
@@ -24,13 +24,14 @@
     }
     // A suspected request whose run broke off has probably ended one more
     // engine: its caller may come again, at whoever knows by then.
-    if end == AttemptEnd::Broken && standing(gateway, &running.call) == QuarantineStatus::Suspected
+    if end == AttemptEnd::Broken
+        && quarantine_status(gateway, &running.call) == QuarantineStatus::Suspected
     {
         return Err(given_up);
     }
     match next_move(&running.work, &running.progress, end) {
         NextMove::TryAnother { repeat: false } => Ok(()),
-        NextMove::TryAnother { repeat: true } if may_repeat(gateway, running) => Ok(()),
+        NextMove::TryAnother { repeat: true } if take_repeat(gateway, running) => Ok(()),
         NextMove::TryAnother { repeat: true } => Err(given_up),
         NextMove::PassOn => Err(given_up),
         NextMove::GiveUp(given_up) => Err(given_up),
@@ -38,12 +39,12 @@
 }
 
 /// Whether another back end is there to go on with, and a repeat for it.
-pub(crate) fn can_go_elsewhere<C: CallerPort, B: BackendPort>(
+pub(crate) fn can_fail_over<C: CallerPort, B: BackendPort>(
     gateway: &Gateway<C, B>,
-    running: &Running,
+    running: &RunningRequest,
     may_hand_over: bool,
 ) -> bool {
-    let Running {
+    let RunningRequest {
         service,
         work,
         tried,
@@ -59,21 +60,21 @@
 
 /// Whether another back end may be asked beside one that is silent and waited
 /// for, which `count` counts; takes a repeat for it.
-pub(crate) fn go_on_beside<C: CallerPort, B: BackendPort>(
+pub(crate) fn admit_hedge<C: CallerPort, B: BackendPort>(
     gateway: &Gateway<C, B>,
-    running: &mut Running,
+    running: &mut RunningRequest,
     count: impl FnOnce(&mut Progress),
 ) -> bool {
     // One more engine may end under a suspected request.
     if !may_be_sent(gateway, running)
-        || standing(gateway, &running.call) == QuarantineStatus::Suspected
+        || quarantine_status(gateway, &running.call) == QuarantineStatus::Suspected
     {
         return false;
     }
     let before = running.progress;
     count(&mut running.progress);
     let next = next_move(&running.work, &running.progress, AttemptEnd::Broken);
-    let begins = matches!(next, NextMove::TryAnother { .. }) && may_repeat(gateway, running);
+    let begins = matches!(next, NextMove::TryAnother { .. }) && take_repeat(gateway, running);
     if !begins {
         running.progress = before;
     }
@@ -81,7 +82,7 @@
 }
 
 /// How a request stands; its body is hashed only where any is suspected.
-pub(crate) fn standing<C: CallerPort, B: BackendPort>(
+pub(crate) fn quarantine_status<C: CallerPort, B: BackendPort>(
     gateway: &Gateway<C, B>,
     call: &Call,
 ) -> QuarantineStatus {
@@ -93,22 +94,22 @@
 }
 
 /// Whether the request may be sent to no engine, since engines ended under it.
-pub(crate) fn is_refused<C: CallerPort, B: BackendPort>(
+pub(crate) fn is_quarantined<C: CallerPort, B: BackendPort>(
     gateway: &Gateway<C, B>,
     call: &Call,
 ) -> bool {
-    standing(gateway, call) == QuarantineStatus::Refused
+    quarantine_status(gateway, call) == QuarantineStatus::Refused
 }
 
 /// Places a request that is suspected apart from others like it, and any other
 /// one wherever `place` puts it, which is given the back ends to leave out.
-pub(crate) fn apart<C: CallerPort, B: BackendPort, T>(
+pub(crate) fn place_apart<C: CallerPort, B: BackendPort, T>(
     gateway: &Gateway<C, B>,
-    running: &Running,
+    running: &RunningRequest,
     place: impl Fn(&[BackendId]) -> Option<T>,
 ) -> Option<T> {
-    let Running { service, tried, .. } = running;
-    if standing(gateway, &running.call) != QuarantineStatus::Suspected {
+    let RunningRequest { service, tried, .. } = running;
+    if quarantine_status(gateway, &running.call) != QuarantineStatus::Suspected {
         return place(tried);
     }
     let mut left_out = {
@@ -124,16 +125,16 @@
 /// time is over, which shows here first when the machine was suspended.
 pub(crate) fn may_be_sent<C: CallerPort, B: BackendPort>(
     gateway: &Gateway<C, B>,
-    running: &Running,
+    running: &RunningRequest,
 ) -> bool {
     let is_in_time = running.remaining(gateway.now()) > Millis::ZERO;
-    is_in_time && !is_refused(gateway, &running.call)
+    is_in_time && !is_quarantined(gateway, &running.call)
 }
 
 /// Takes one repeat from the service's budget, and tells when none is left.
-pub(crate) fn may_repeat<C: CallerPort, B: BackendPort>(
+pub(crate) fn take_repeat<C: CallerPort, B: BackendPort>(
     gateway: &Gateway<C, B>,
-    running: &Running,
+    running: &RunningRequest,
 ) -> bool {
     let now = gateway.now();
     let mut forwarder = gateway.forwarder.borrow_mut();
--- a/components/forwarding-shell/src/gateway.rs
+++ b/components/forwarding-shell/src/gateway.rs
@@ -12,15 +12,15 @@
 
 use crate::connection_queue::ConnectionQueue;
 use crate::metrics::GatewayMetrics;
-use crate::permits::PermitDesk;
+use crate::permits::PermitClient;
 use crate::ports::{BackendPort, CallerPort};
-use crate::unknown_names::UnknownNames;
+use crate::unknown_headers::UnknownHeaders;
 
 /// Time in which a group that starts together with its gateways elects a
 /// leader, which then sends them the configuration.
 const TIME_TO_CONFIGURATION: Millis = Millis(900);
 /// Shortest wait that callers are told.
-const SHORTEST_WAIT: Millis = Millis(250);
+const MIN_CONFIGURATION_WAIT: Millis = Millis(250);
 
 /// The process.
 pub(crate) struct Gateway<C, B> {
@@ -35,18 +35,18 @@
     pub(crate) timers: Timers,
     pub(crate) started_at: Millis,
     pub(crate) metrics: GatewayMetrics,
-    pub(crate) permits: PermitDesk,
+    pub(crate) permits: PermitClient,
     /// Requests that wait for a connection to a back end.
     pub(crate) connections: ConnectionQueue,
     /// Unknown header names in answers of back ends.
-    pub(crate) unknown_names: UnknownNames,
+    pub(crate) unknown_headers: UnknownHeaders,
     /// Bounds on the time of callers' connections, by the route table in force.
     pub(crate) connection_times: Shared<ConnectionTimes>,
     /// Since when the route table in force has been so.
     pub(crate) routes_since: Cell<Millis>,
     /// Set by a planned stop, with the end of its grace time: callers are asked
     /// to leave.
-    pub(crate) gone_by: Cell<Option<Millis>>,
+    pub(crate) stop_deadline: Cell<Option<Millis>>,
     /// Requests without their final answer.
     pub(crate) open_requests: Rc<Cell<usize>>,
 }
@@ -68,7 +68,7 @@
     /// configuration.
     pub(crate) fn expected_configuration(&self, now: Millis) -> Millis {
         let running_for = now.since(self.started_at);
-        (TIME_TO_CONFIGURATION - running_for).max(SHORTEST_WAIT)
+        (TIME_TO_CONFIGURATION - running_for).max(MIN_CONFIGURATION_WAIT)
     }
 
     /// A request began to run at `began`.
@@ -80,7 +80,7 @@
 
     /// Whether a planned stop is under way.
     pub(crate) fn is_stopping(&self) -> bool {
-        self.gone_by.get().is_some()
+        self.stop_deadline.get().is_some()
     }
 
     /// Whether new callers may come.
--- a/components/forwarding-shell/src/handover.rs
+++ b/components/forwarding-shell/src/kv_transfer.rs
@@ -5,23 +5,23 @@
 use garnet_forwarding::{AttemptEnd, NotRunReason, PrefillWork, Prompt};
 use garnet_types::{BackendId, Millis};
 
-use crate::attempt::{OpenAnswer, attempt, failed_with, log_failure};
+use crate::attempt::{OpenAnswer, attempt, log_failure, status_cause};
 use crate::gateway::Gateway;
-use crate::ports::{BackendPort, Call, CallerPort, HandoverSource, Job, JobPhase};
+use crate::ports::{BackendPort, Call, CallerPort, Job, JobPhase, KvSource};
 
 /// Longest body of the answer to a prompt that was prefilled.
-const SHORT_BODY: usize = 64 * 1024;
+const MAX_PREFILL_BODY_BYTES: usize = 64 * 1024;
 
 /// A KV cache that waits for its engine. It is freed when nobody takes it.
 pub(crate) struct WaitingCache<C: CallerPort + 'static, B: BackendPort + 'static> {
     gateway: Rc<Gateway<C, B>>,
     prefill_engine: BackendId,
-    source: HandoverSource,
+    source: KvSource,
     taken: bool,
 }
 
 impl<C: CallerPort + 'static, B: BackendPort + 'static> WaitingCache<C, B> {
-    pub(crate) fn source(&self) -> HandoverSource {
+    pub(crate) fn source(&self) -> KvSource {
         self.source.clone()
     }
 
@@ -65,7 +65,7 @@
             }
             // It lapses by itself when this does not arrive.
             if let Ok(mut exchange) = pool.send(&address, request).await
-                && exchange.read_whole(SHORT_BODY).await.is_ok()
+                && exchange.read_whole(MAX_PREFILL_BODY_BYTES).await.is_ok()
             {
                 exchange.finish();
             }
@@ -96,7 +96,7 @@
 ) -> Result<WaitingCache<C, B>, AttemptEnd> {
     let began = gateway.now();
     let sent = attempt(gateway, call, job).await;
-    let mut open = sent.map_err(not_run)?;
+    let mut open = sent.map_err(as_not_run)?;
     let prefill_work = open.guard.prefill_work();
     let failed = |open: &mut OpenAnswer<C, B>, cause: &str| {
         open.guard.failed();
@@ -105,9 +105,9 @@
     };
     let status = open.exchange.head.status;
     if !status.is_success() {
-        return Err(failed(&mut open, &failed_with(status)));
+        return Err(failed(&mut open, &status_cause(status)));
     }
-    let body = match open.exchange.read_whole(SHORT_BODY).await {
+    let body = match open.exchange.read_whole(MAX_PREFILL_BODY_BYTES).await {
         Ok(body) => body,
         Err(error) => {
             open.guard.connection_lost(call);
@@ -115,11 +115,11 @@
             return Err(AttemptEnd::NotRun(NotRunReason::CacheGone));
         }
     };
-    let Some(read) = gateway.backends.read_prefill_answer(&body) else {
+    let Some(prefilled) = gateway.backends.read_prefill_answer(&body) else {
         return Err(failed(&mut open, "the answer tells no KV cache"));
     };
     let took = gateway.now().since(began);
-    log_read(call, job, prefill_work, took);
+    log_prefill(call, job, prefill_work, took);
     let tokens = prefill_work.uncached + prefill_work.queued;
     let mut forwarder = gateway.forwarder.borrow_mut();
     forwarder.note_prefill(&job.backend, tokens, took);
@@ -131,9 +131,9 @@
         forwarder.address(&job.backend).map(str::to_owned)
     };
     open.exchange.finish();
-    let source = HandoverSource {
+    let source = KvSource {
         address: address.unwrap_or_default(),
-        handle: read.handle,
+        handle: prefilled.handle,
     };
     Ok(WaitingCache {
         gateway: Rc::clone(gateway),
@@ -143,7 +143,7 @@
     })
 }
 
-fn log_read(call: &Call, job: &Job, prefill_work: PrefillWork, took: Millis) {
+fn log_prefill(call: &Call, job: &Job, prefill_work: PrefillWork, took: Millis) {
     let copied_from = match &job.phase {
         JobPhase::Prefill(Some(source)) => source.backend.as_str(),
         _ => "",
@@ -166,7 +166,7 @@
     );
 }
 
-fn not_run(end: AttemptEnd) -> AttemptEnd {
+fn as_not_run(end: AttemptEnd) -> AttemptEnd {
     match end {
         AttemptEnd::Broken | AttemptEnd::Failed => AttemptEnd::NotRun(NotRunReason::CacheGone),
         other => other,
--- a/components/forwarding-shell/src/lib.rs
+++ b/components/forwarding-shell/src/lib.rs
@@ -9,29 +9,29 @@
 
 mod answers;
 mod attempt;
+mod backend_reports;
+mod buffered;
 mod connection_queue;
 mod events;
+mod failover;
 mod gateway;
-mod going_on;
-mod handover;
 mod headers;
+mod kv_transfer;
 mod metrics;
 mod permits;
 mod ports;
-mod reported;
 mod request;
 mod start;
 mod stopping;
 mod stream;
-mod unknown_names;
-mod waiting;
+mod timeout;
+mod unknown_headers;
 mod watch;
-mod whole;
 
 pub use events::EventSplitter;
 pub use ports::{
-    BackendPort, Call, CallFacts, CallerPort, CopySource, HandoverSource, HeadMeaning, Job,
-    JobPhase, PrefillAnswer, ReadHead,
+    BackendPort, Call, CallFacts, CallerPort, CopySource, HeadMeaning, Job, JobPhase, KvSource,
+    ParsedHead, PrefillAnswer,
 };
 pub use start::{GatewayOptions, Ports, Replicas, run};
 pub use stopping::StopTimes;
--- a/components/forwarding-shell/src/permits.rs
+++ b/components/forwarding-shell/src/permits.rs
@@ -12,65 +12,65 @@
 use smol::channel::{Receiver, Sender, bounded};
 
 use crate::connection_queue::{Waited, wait_for_connection};
+use crate::failover::may_be_sent;
 use crate::gateway::Gateway;
-use crate::going_on::may_be_sent;
 use crate::ports::{BackendPort, CallerPort};
-use crate::request::Running;
-use crate::waiting::within;
+use crate::request::RunningRequest;
+use crate::timeout::with_timeout;
 
 /// A leader that has been silent for so long is not asked: four times the longest
 /// pause between two answers to a gateway.
-const LEADER_SILENT: Millis = Millis(1000);
+const LEADER_TIMEOUT: Millis = Millis(1000);
 /// Longest time that its answer is waited for: the way to another region and back.
-const LONGEST_WAIT: Millis = Millis(250);
+const MAX_WAIT: Millis = Millis(250);
 /// Shortest time for which it is waited for: a round trip in a region under load.
-const SHORTEST_WAIT: Millis = Millis(20);
+const MIN_WAIT: Millis = Millis(20);
 /// A caller who is refused within this part of its objective can still be served in
 /// time.
-const WAIT_PART: u64 = 4;
+const OBJECTIVE_DIVISOR: u64 = 4;
 /// Retry time of callers while there is no leader: an election takes about as long.
-const RETRY_WITHOUT_LEADER: Millis = Millis(1000);
+const RETRY_AFTER_WITHOUT_LEADER: Millis = Millis(1000);
 
 /// Why a request is not placed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum NotPlaced {
     /// There is no back end that could take it.
-    Nobody,
+    NoBackend,
     /// Back ends that could take it have a limit, are in backoff or have no connection
     /// left: when to come back.
     Unavailable(Millis),
 }
 
 /// What is asked of the leader.
-pub(crate) struct PermitDesk {
+pub(crate) struct PermitClient {
     id: GatewayId,
     requests: Sender<GatewayRequest>,
     waiting: RefCell<BTreeMap<u64, Sender<PermitOutcome>>>,
-    leader_heard_at: Cell<Millis>,
+    leader_answered_at: Cell<Millis>,
 }
 
-impl PermitDesk {
+impl PermitClient {
     pub(crate) fn new(id: GatewayId, requests: Sender<GatewayRequest>) -> Self {
-        PermitDesk {
+        PermitClient {
             id,
             requests,
             waiting: RefCell::default(),
-            leader_heard_at: Cell::new(Millis::ZERO),
+            leader_answered_at: Cell::new(Millis::ZERO),
         }
     }
 
     /// The leader has answered.
-    pub(crate) fn heard_leader(&self, now: Millis) {
-        self.leader_heard_at.set(now);
+    pub(crate) fn on_leader_answer(&self, now: Millis) {
+        self.leader_answered_at.set(now);
     }
 
-    fn send(&self, ask: PermitRequest) -> bool {
-        let request = GatewayRequest::Permit(ask);
+    fn send(&self, permit_request: PermitRequest) -> bool {
+        let request = GatewayRequest::Permit(permit_request);
         self.requests.try_send(request).is_ok()
     }
 
     /// Wakes who waits for this answer.
-    fn answered(&self, answer: &PermitAnswer) {
+    fn wake_waiter(&self, answer: &PermitAnswer) {
         if let Some(waiter) = self.waiting.borrow_mut().remove(&answer.number) {
             // The waiter may be gone; the permit is left for another request.
             let _gone = waiter.try_send(answer.outcome.clone());
@@ -80,17 +80,17 @@
 
 /// Who waits for an answer; dropped, it is waited for no longer.
 struct Waiter<'a> {
-    desk: &'a PermitDesk,
+    client: &'a PermitClient,
     number: u64,
     answer: Receiver<PermitOutcome>,
 }
 
 impl<'a> Waiter<'a> {
-    fn begin(desk: &'a PermitDesk, number: u64) -> Self {
-        let (answered, answer) = bounded(1);
-        desk.waiting.borrow_mut().insert(number, answered);
+    fn begin(client: &'a PermitClient, number: u64) -> Self {
+        let (answer_sender, answer) = bounded(1);
+        client.waiting.borrow_mut().insert(number, answer_sender);
         Waiter {
-            desk,
+            client,
             number,
             answer,
         }
@@ -99,7 +99,7 @@
 
 impl Drop for Waiter<'_> {
     fn drop(&mut self) {
-        self.desk.waiting.borrow_mut().remove(&self.number);
+        self.client.waiting.borrow_mut().remove(&self.number);
     }
 }
 
@@ -119,7 +119,7 @@
 }
 
 /// Takes the leader's answer to a question.
-pub(crate) fn take_permit<C: CallerPort, B: BackendPort>(
+pub(crate) fn handle_permit_answer<C: CallerPort, B: BackendPort>(
     gateway: &Gateway<C, B>,
     answer: &PermitAnswer,
 ) {
@@ -130,27 +130,27 @@
         PermitOutcome::Refused { .. } => "refused",
     };
     gateway.metrics.permit(outcome);
-    gateway.permits.answered(answer);
+    gateway.permits.wake_waiter(answer);
 }
 
 /// Asks for a permit that another request may use, where it is this gateway's turn.
-pub(crate) fn ask_for_spare<C: CallerPort, B: BackendPort>(
+pub(crate) fn request_spare_permit<C: CallerPort, B: BackendPort>(
     gateway: &Gateway<C, B>,
-    running: &Running,
+    running: &RunningRequest,
 ) {
     let now = gateway.now();
     if is_leader_silent(gateway, now) {
         return;
     }
-    let Running { service, work, .. } = running;
-    let ask = {
+    let RunningRequest { service, work, .. } = running;
+    let permit_request = {
         let mut forwarder = gateway.forwarder.borrow_mut();
         forwarder.ask_for_spare_permit(service, work, now)
     };
-    if let Some(ask) = ask {
+    if let Some(permit_request) = permit_request {
         send_limit_reports(gateway);
         // What is lost was of no use to anybody yet.
-        let _lost = gateway.permits.send(ask);
+        let _lost = gateway.permits.send(permit_request);
     }
 }
 
@@ -158,7 +158,7 @@
 /// with a permit, or refused as soon as the leader refuses one.
 pub(crate) async fn place_within_limits<C, B, T>(
     gateway: &Gateway<C, B>,
-    running: &Running,
+    running: &RunningRequest,
     place: impl Fn() -> Option<T>,
 ) -> Result<T, NotPlaced>
 where
@@ -169,8 +169,8 @@
         return Ok(placed);
     }
     let now = gateway.now();
-    let asking = {
-        let Running {
+    let lookup = {
+        let RunningRequest {
             service,
             work,
             tried,
@@ -179,26 +179,28 @@
         let mut forwarder = gateway.forwarder.borrow_mut();
         forwarder.ask_for_permit(service, work, tried, now)
     };
-    let retry_after = match asking {
+    let retry_after = match lookup {
         PermitLookup::Unlimited => {
             return match wait_for_connection(gateway, running, place).await {
                 Waited::Placed(placed) => Ok(placed),
-                Waited::InVain => Err(not_placed(gateway, running)),
+                Waited::NotPlaceable => Err(not_placed(gateway, running)),
                 Waited::TooLong(retry_after) => Err(NotPlaced::Unavailable(retry_after)),
             };
         }
         PermitLookup::Exhausted(retry_after) => retry_after,
-        PermitLookup::AskLeader(ask) => match answer_to(gateway, running, ask).await {
-            // The verdict on a request may fall while it waits, and its time may pass.
-            Some(_) if !may_be_sent(gateway, running) => return Err(NotPlaced::Nobody),
-            Some(PermitOutcome::Granted { .. }) => match place() {
-                Some(placed) => return Ok(placed),
-                // Another request has used it.
-                None => MIN_RETRY_AFTER,
-            },
-            Some(PermitOutcome::Refused { retry_after, .. }) => retry_after,
-            None => RETRY_WITHOUT_LEADER,
-        },
+        PermitLookup::AskLeader(permit_request) => {
+            match request_permit(gateway, running, permit_request).await {
+                // The verdict on a request may fall while it waits, and its time may pass.
+                Some(_) if !may_be_sent(gateway, running) => return Err(NotPlaced::NoBackend),
+                Some(PermitOutcome::Granted { .. }) => match place() {
+                    Some(placed) => return Ok(placed),
+                    // Another request has used it.
+                    None => MIN_RETRY_AFTER,
+                },
+                Some(PermitOutcome::Refused { retry_after, .. }) => retry_after,
+                None => RETRY_AFTER_WITHOUT_LEADER,
+            }
+        }
     };
     let retry_after = retry_after.max(MIN_RETRY_AFTER);
     log::info!(
@@ -214,10 +216,10 @@
 /// Why a request is not placed for which no back end has a limit.
 fn not_placed<C: CallerPort, B: BackendPort>(
     gateway: &Gateway<C, B>,
-    running: &Running,
+    running: &RunningRequest,
 ) -> NotPlaced {
     let Some(retry_after) = all_in_backoff(gateway, running) else {
-        return NotPlaced::Nobody;
+        return NotPlaced::NoBackend;
     };
     log::info!(
         request = running.call.facts.id.as_str(),
@@ -232,32 +234,32 @@
 /// backoff.
 pub(crate) fn all_in_backoff<C: CallerPort, B: BackendPort>(
     gateway: &Gateway<C, B>,
-    running: &Running,
+    running: &RunningRequest,
 ) -> Option<Millis> {
-    let Running { service, work, .. } = running;
+    let RunningRequest { service, work, .. } = running;
     let mut forwarder = gateway.forwarder.borrow_mut();
     forwarder.all_in_backoff(service, work, gateway.now())
 }
 
 fn is_leader_silent<C: CallerPort, B: BackendPort>(gateway: &Gateway<C, B>, now: Millis) -> bool {
-    now.since(gateway.permits.leader_heard_at.get()) > LEADER_SILENT
+    now.since(gateway.permits.leader_answered_at.get()) > LEADER_TIMEOUT
 }
 
-async fn answer_to<C: CallerPort, B: BackendPort>(
+async fn request_permit<C: CallerPort, B: BackendPort>(
     gateway: &Gateway<C, B>,
-    running: &Running,
-    ask: PermitRequest,
+    running: &RunningRequest,
+    permit_request: PermitRequest,
 ) -> Option<PermitOutcome> {
     if is_leader_silent(gateway, gateway.now()) {
         gateway.metrics.permit("no_leader");
         return None;
     }
     send_limit_reports(gateway);
-    let waiter = Waiter::begin(&gateway.permits, ask.number);
-    let answer = if gateway.permits.send(ask) {
-        let useful = Millis(running.work.objective.0 / WAIT_PART);
-        let longest = useful.clamp(SHORTEST_WAIT, LONGEST_WAIT);
-        within(Some(longest), waiter.answer.recv()).await
+    let waiter = Waiter::begin(&gateway.permits, permit_request.number);
+    let answer = if gateway.permits.send(permit_request) {
+        let wait = Millis(running.work.objective.0 / OBJECTIVE_DIVISOR);
+        let time_limit = wait.clamp(MIN_WAIT, MAX_WAIT);
+        with_timeout(Some(time_limit), waiter.answer.recv()).await
     } else {
         None
     };
--- a/components/forwarding-shell/src/ports.rs
+++ b/components/forwarding-shell/src/ports.rs
@@ -82,7 +82,7 @@
 
 /// Where a prompt's KV cache is to be had.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct HandoverSource {
+pub struct KvSource {
     /// Address of the engine that read the prompt.
     pub address: String,
     /// Its name for the cache.
@@ -107,7 +107,7 @@
     /// prefill engine lacks of its prefix is copied first.
     Prefill(Option<CopySource>),
     /// Go on from a KV cache.
-    Decode(HandoverSource),
+    Decode(KvSource),
 }
 
 /// What a back end is asked to do.
@@ -135,12 +135,12 @@
     /// Another back end stands at the address.
     AnotherBackend,
     /// The answer belongs to another request.
-    Foreign,
+    OtherRequest,
 }
 
 /// The head of an answer, read.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct ReadHead {
+pub struct ParsedHead {
     /// What it means.
     pub meaning: HeadMeaning,
     /// Load that came with it.
@@ -152,7 +152,7 @@
     /// Whether its back end reports that it is draining.
     pub draining: bool,
     /// Names in it that nobody here knows, each with its value.
-    pub unknown: Vec<(HeaderName, HeaderValue)>,
+    pub unknown_headers: Vec<(HeaderName, HeaderValue)>,
 }
 
 /// The answer to [`JobPhase::ReadPrompt`].
@@ -183,7 +183,7 @@
     /// The request that does the job.
     fn request(&self, call: &Call, job: &Job) -> Request<Full<Bytes>>;
     /// Reads the head of an answer.
-    fn read_head(&self, call: &Call, job: &Job, head: &ResponseParts) -> ReadHead;
+    fn read_head(&self, call: &Call, job: &Job, head: &ResponseParts) -> ParsedHead;
     /// Reads the body of the answer to [`JobPhase::ReadPrompt`].
     fn read_prefill_answer(&self, body: &[u8]) -> Option<PrefillAnswer>;
     /// The request that frees a KV cache that nobody takes.
--- a/components/forwarding-shell/src/request.rs
+++ b/components/forwarding-shell/src/request.rs
@@ -14,15 +14,15 @@
 use hyper::{Request, Response};
 
 use crate::answers::{OwnAnswer, retry_after};
+use crate::failover::is_quarantined;
 use crate::gateway::Gateway;
-use crate::going_on::is_refused;
 use crate::headers::remove_connection_headers;
-use crate::permits::{all_in_backoff, ask_for_spare};
+use crate::permits::{all_in_backoff, request_spare_permit};
 use crate::ports::{BackendPort, Call, CallFacts, CallerPort};
-use crate::{stream, whole};
+use crate::{buffered, stream};
 
 /// Longest time to read a body when nothing else bounds it.
-const BODY_TIME: Duration = Duration::from_secs(20);
+const BODY_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// The clock tells whole milliseconds, rounded down: a span that is counted from
 /// such a moment is surely over one step later.
@@ -30,10 +30,10 @@
 
 /// A caller that gives less than this part of the route's time has used the
 /// rest before: it was here already.
-const FIRST_CALL_TIME: f64 = 0.95;
+const FIRST_CALL_MIN_FRACTION: f64 = 0.95;
 
 /// A request under way and what became of it so far.
-pub(crate) struct Running {
+pub(crate) struct RunningRequest {
     pub(crate) call: Rc<Call>,
     pub(crate) route: Route,
     pub(crate) service: ServiceId,
@@ -48,12 +48,12 @@
     /// Set when it has been counted as begun.
     pub(crate) begun: Rc<Cell<bool>>,
     ended: Cell<bool>,
-    _open: OpenRequest,
+    _open: OpenRequestGuard,
 }
 
-impl Running {
+impl RunningRequest {
     /// Whether another back end may be tried after one that is silent now.
-    pub(crate) fn may_move_on(&self) -> bool {
+    pub(crate) fn may_fail_over(&self) -> bool {
         self.work.kind.may_repeat() && self.progress.ran + 1 < self.work.max_attempts
     }
 
@@ -81,29 +81,29 @@
             waited: now.since(self.arrived),
             remaining: self.remaining(now).min(longest_gap),
             deadline: self.remaining(now),
-            is_retry: (given.0 as f64) < whole * FIRST_CALL_TIME,
+            is_retry: (given.0 as f64) < whole * FIRST_CALL_MIN_FRACTION,
         }
     }
 }
 
 /// Counts a request as open until it is dropped.
-pub(crate) struct OpenRequest(Rc<Cell<usize>>);
+pub(crate) struct OpenRequestGuard(Rc<Cell<usize>>);
 
-impl OpenRequest {
+impl OpenRequestGuard {
     fn begin(open: &Rc<Cell<usize>>) -> Self {
         open.set(open.get() + 1);
-        OpenRequest(Rc::clone(open))
+        OpenRequestGuard(Rc::clone(open))
     }
 }
 
-impl Drop for OpenRequest {
+impl Drop for OpenRequestGuard {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
 }
 
 /// A request that is dropped before its end was left by its caller.
-impl Drop for Running {
+impl Drop for RunningRequest {
     fn drop(&mut self) {
         if self.ended.get() {
             return;
@@ -133,7 +133,7 @@
     let (head, body) = request.into_parts();
     let facts = match gateway.callers.read(&head) {
         Ok(facts) => facts,
-        Err(finding) => {
+        Err(problem) => {
             // Who waits to be told to go on sends nothing yet.
             if !head.headers.contains_key(EXPECT) {
                 discard_body(body).await;
@@ -142,7 +142,7 @@
                 &gateway,
                 &CallFacts::default(),
                 OwnAnswer::BadRequest,
-                &finding,
+                &problem,
             );
         }
     };
@@ -155,17 +155,17 @@
         Ok(running) => running,
         Err(refused) => return refuse(&gateway, &refused.0, refused.1, ""),
     };
-    if is_refused(&gateway, &running.call) {
+    if is_quarantined(&gateway, &running.call) {
         let answer = refuse_quarantined(&gateway, &running);
-        return with_leave(&gateway, answer);
+        return with_connection_close(&gateway, answer);
     }
-    ask_for_spare(&gateway, &running);
+    request_spare_permit(&gateway, &running);
     let response = if running.work.kind.is_stream() {
         stream::serve(&gateway, running).await
     } else {
-        whole::serve(&gateway, running).await
+        buffered::serve(&gateway, running).await
     };
-    with_leave(&gateway, response)
+    with_connection_close(&gateway, response)
 }
 
 /// Finds the route and the caller's tenant, and begins. The refusal where
@@ -176,7 +176,7 @@
     mut facts: CallFacts,
     body: Bytes,
     arrived: Millis,
-) -> Result<Running, Box<(CallFacts, OwnAnswer)>> {
+) -> Result<RunningRequest, Box<(CallFacts, OwnAnswer)>> {
     let mut forwarder = gateway.forwarder.borrow_mut();
     let Some(choice) = forwarder.route(&facts.host, head.uri.path()) else {
         let answer = if forwarder.is_confirmed() && forwarder.routes_version().is_some() {
@@ -220,7 +220,7 @@
         prompt: facts.prompt.clone(),
         is_deferred: false,
     };
-    Ok(Running {
+    Ok(RunningRequest {
         call: Rc::new(Call::new(
             facts,
             head,
@@ -238,14 +238,14 @@
         served_by: None,
         begun: Rc::default(),
         ended: Cell::new(false),
-        _open: OpenRequest::begin(&gateway.open_requests),
+        _open: OpenRequestGuard::begin(&gateway.open_requests),
     })
 }
 
 fn body_limits(limits: CallerLimits) -> Limits {
     Limits {
         body_bytes: usize::try_from(limits.max_body_bytes).unwrap_or(usize::MAX),
-        body_time: BODY_TIME,
+        body_time: BODY_TIMEOUT,
         ..Limits::default()
     }
 }
@@ -261,7 +261,7 @@
 /// Refuses a request that crashes engines, before any of them sees it.
 fn refuse_quarantined<C: CallerPort, B: BackendPort>(
     gateway: &Gateway<C, B>,
-    running: &Running,
+    running: &RunningRequest,
 ) -> Response<Body> {
     let fingerprint = running.call.fingerprint();
     let refused_for = {
@@ -291,7 +291,10 @@
 }
 
 /// Ends at the moment `due`.
-pub(crate) async fn until<C: CallerPort, B: BackendPort>(gateway: &Gateway<C, B>, due: Millis) {
+pub(crate) async fn sleep_until_due<C: CallerPort, B: BackendPort>(
+    gateway: &Gateway<C, B>,
+    due: Millis,
+) {
     gateway.timers.sleep_until(due).await;
 }
 
@@ -313,13 +316,13 @@
     gateway.metrics.refused(answer.as_str());
     let mut response = answer.response(detail);
     gateway.callers.mark(&mut response, facts);
-    with_leave(gateway, response)
+    with_connection_close(gateway, response)
 }
 
 /// The answer to a request that is given up.
 pub(crate) fn given_up_answer<C: CallerPort, B: BackendPort>(
     gateway: &Gateway<C, B>,
-    running: &Running,
+    running: &RunningRequest,
     given_up: GivenUp,
 ) -> OwnAnswer {
     match given_up {
@@ -335,19 +338,19 @@
 /// The final answer of the gateway's own to a request under way.
 pub(crate) fn own_answer<C: CallerPort, B: BackendPort>(
     gateway: &Gateway<C, B>,
-    running: &Running,
+    running: &RunningRequest,
     answer: OwnAnswer,
 ) -> Response<Body> {
-    finished(gateway, running, answer.as_str(), 0);
+    record_end(gateway, running, answer.as_str(), 0);
     let mut response = answer.response("");
     gateway.callers.mark(&mut response, &running.call.facts);
     response
 }
 
 /// Logs and counts the end of a request.
-pub(crate) fn finished<C: CallerPort, B: BackendPort>(
+pub(crate) fn record_end<C: CallerPort, B: BackendPort>(
     gateway: &Gateway<C, B>,
-    running: &Running,
+    running: &RunningRequest,
     outcome: &str,
     status: u16,
 ) {
@@ -376,7 +379,7 @@
 /// Tells that no back end can take a request, and what is known of them.
 pub(crate) fn log_no_back_end<C: CallerPort, B: BackendPort>(
     gateway: &Gateway<C, B>,
-    running: &Running,
+    running: &RunningRequest,
 ) {
     let now = gateway.now();
     let forwarder = gateway.forwarder.borrow();
@@ -393,7 +396,7 @@
 }
 
 /// Asks the caller to leave during a planned stop.
-fn with_leave<C: CallerPort, B: BackendPort>(
+fn with_connection_close<C: CallerPort, B: BackendPort>(
     gateway: &Gateway<C, B>,
     mut response: Response<Body>,
 ) -> Response<Body> {
--- a/components/forwarding-shell/src/start.rs
+++ b/components/forwarding-shell/src/start.rs
@@ -21,11 +21,11 @@
 use crate::connection_queue::ConnectionQueue;
 use crate::gateway::{Gateway, connection_times};
 use crate::metrics::GatewayMetrics;
-use crate::permits::PermitDesk;
+use crate::permits::PermitClient;
 use crate::ports::{BackendPort, CallerPort};
 use crate::request;
-use crate::stopping::{StopTimes, give_notice};
-use crate::unknown_names::UnknownNames;
+use crate::stopping::{StopTimes, announce_stop};
+use crate::unknown_headers::UnknownHeaders;
 use crate::watch::{self, Watch, WatchOwner};
 
 /// Questions to the leader that wait for its connection: a watch with what goes with
@@ -74,7 +74,7 @@
     shell: &Shell,
     options: GatewayOptions,
     ports: Ports<C, B>,
-    more: Vec<ChildSpec>,
+    extra_children: Vec<ChildSpec>,
 ) -> io::Result<()>
 where
     C: CallerPort + 'static,
@@ -102,12 +102,12 @@
         timers: Timers::new(shell.clock),
         started_at: shell.clock.now(),
         metrics: GatewayMetrics::new(),
-        permits: PermitDesk::new(id.clone(), requests_in.clone()),
+        permits: PermitClient::new(id.clone(), requests_in.clone()),
         connections: ConnectionQueue::default(),
-        unknown_names: UnknownNames::default(),
+        unknown_headers: UnknownHeaders::default(),
         connection_times: times,
         routes_since: Cell::new(shell.clock.now()),
-        gone_by: Cell::new(None),
+        stop_deadline: Cell::new(None),
         open_requests: Rc::default(),
     });
     log::info!(
@@ -124,7 +124,7 @@
         requests_in,
         requests.clone(),
     ));
-    let mut children = more;
+    let mut children = extra_children;
     children.extend([
         control_link::child(WatchOwner(Rc::clone(&watch)), id, requests),
         watch::ticker(Rc::clone(&watch)),
@@ -139,16 +139,16 @@
             async move { response }
         }));
     }
-    let asked = Rc::clone(&gateway);
+    let for_readiness = Rc::clone(&gateway);
     children.push(shell.http_child(Rc::new(ready_server), move |request| {
-        let response = show_readiness(&asked, request.uri().path());
+        let response = show_readiness(&for_readiness, request.uri().path());
         async move { response }
     }));
-    let serving = Rc::clone(&gateway);
+    let for_requests = Rc::clone(&gateway);
     children.push(shell.http_child(Rc::new(server), move |request| {
-        request::handle(Rc::clone(&serving), request)
+        request::handle(Rc::clone(&for_requests), request)
     }));
-    shell.run(children, give_notice(gateway, options.stop))
+    shell.run(children, announce_stop(gateway, options.stop))
 }
 
 fn show_readiness<C: CallerPort, B: BackendPort>(
--- a/components/forwarding-shell/src/stream/engine_run.rs
+++ b/components/forwarding-shell/src/stream/engine_run.rs
@@ -8,8 +8,8 @@
 use crate::events::EventSplitter;
 use crate::ports::{BackendPort, Call, CallerPort};
 
-/// What an engine was heard to say.
-pub(super) enum Heard {
+/// What an engine was received to say.
+pub(super) enum Received {
     /// The next of its answer: whole events, where the stream may be resumed.
     Event(Bytes),
     /// The proper end.
@@ -49,23 +49,23 @@
 
     /// What it says next. Where this is dropped nothing of it is lost: the half
     /// of an event is kept for the other half.
-    pub(super) async fn next(&mut self) -> Heard {
+    pub(super) async fn next(&mut self) -> Received {
         loop {
             match self.open.exchange.next().await {
                 Ok(Some(chunk)) => {
                     self.has_begun = true;
                     self.open.guard.prefill_done();
                     if !self.is_resumable {
-                        return Heard::Event(chunk);
+                        return Received::Event(chunk);
                     }
                     let whole = self.splitter.push(&chunk);
                     if !whole.is_empty() {
-                        return Heard::Event(whole);
+                        return Received::Event(whole);
                     }
                 }
-                Ok(None) if self.splitter.is_at_boundary() => return Heard::End,
-                Ok(None) => return Heard::Broke("the last event is not whole".to_owned()),
-                Err(error) => return Heard::Broke(error.to_string()),
+                Ok(None) if self.splitter.is_at_boundary() => return Received::End,
+                Ok(None) => return Received::Broke("the last event is not whole".to_owned()),
+                Err(error) => return Received::Broke(error.to_string()),
             }
         }
     }
--- a/components/forwarding-shell/src/stream/mod.rs
+++ b/components/forwarding-shell/src/stream/mod.rs
@@ -3,8 +3,8 @@
 
 mod cut;
 mod engine_run;
-mod placing;
-mod reading;
+mod placement;
+mod prefill;
 mod search;
 mod successor;
 
@@ -19,15 +19,17 @@
 use hyper::body::Bytes;
 
 use crate::answers::OwnAnswer;
+use crate::buffered::copy_head;
 use crate::gateway::Gateway;
 use crate::ports::{BackendPort, CallerPort};
-use crate::request::{Running, finished, given_up_answer, note_begun, own_answer, until};
-use crate::waiting::within;
-use crate::whole::copy_head;
+use crate::request::{
+    RunningRequest, given_up_answer, note_begun, own_answer, record_end, sleep_until_due,
+};
+use crate::timeout::with_timeout;
 
 use cut::CutCause;
-use engine_run::{EngineRun, Heard};
-use search::{Found, Refused, Search};
+use engine_run::{EngineRun, Received};
+use search::{Found, NotStreamed, Search};
 
 /// A stream under way.
 struct Stream<C: CallerPort + 'static, B: BackendPort + 'static> {
@@ -50,7 +52,10 @@
 }
 
 /// Serves the request until its time is over.
-pub(crate) async fn serve<C, B>(gateway: &Rc<Gateway<C, B>>, running: Running) -> Response<Body>
+pub(crate) async fn serve<C, B>(
+    gateway: &Rc<Gateway<C, B>>,
+    running: RunningRequest,
+) -> Response<Body>
 where
     C: CallerPort + 'static,
     B: BackendPort + 'static,
@@ -59,24 +64,24 @@
     let mut search = Search::new(gateway, running);
     let opening = async { Some(search.find_run().await) };
     let late = async {
-        until(gateway, due).await;
+        sleep_until_due(gateway, due).await;
         None
     };
     let found = smol::future::or(opening, late).await;
     let failure = search.take_failure();
-    let found = found.map(|found| found.map_err(|refused| refused.or_answered(failure)));
+    let found = found.map(|found| found.map_err(|not_streamed| not_streamed.or_answered(failure)));
     match found {
         Some(Ok(found)) => Stream::new(gateway, search).answer(found),
-        Some(Err(Refused::GivenUp(given_up))) => {
+        Some(Err(NotStreamed::GivenUp(given_up))) => {
             let answer = given_up_answer(gateway, &search.running, given_up);
             own_answer(gateway, &search.running, answer)
         }
-        Some(Err(Refused::Busy(retry_after))) => {
+        Some(Err(NotStreamed::Busy(retry_after))) => {
             own_answer(gateway, &search.running, OwnAnswer::NotRun(retry_after))
         }
-        Some(Err(Refused::Answered(response))) => {
+        Some(Err(NotStreamed::Answered(response))) => {
             let status = response.status().as_u16();
-            finished(gateway, &search.running, "answered", status);
+            record_end(gateway, &search.running, "answered", status);
             *response
         }
         None => own_answer(gateway, &search.running, OwnAnswer::TimedOut),
@@ -99,7 +104,7 @@
     fn answer(mut self, found: Found<C, B>) -> Response<Body> {
         let head = copy_head(found.run.head());
         self.run = Some(found.run);
-        let first = self.take(found.first);
+        let first = self.on_received(found.first);
         self.log_begun();
         let state = (self, Some(first));
         let events = unfold(Some(state), |state| async move {
@@ -111,12 +116,12 @@
             match next {
                 Next::Event(event) => Some((Ok(event), Some((stream, None)))),
                 Next::End => {
-                    finished(&stream.gateway, &stream.search.running, "streamed", 200);
+                    record_end(&stream.gateway, &stream.search.running, "streamed", 200);
                     None
                 }
                 Next::Cut(cause) => {
                     stream.note_cut(cause);
-                    finished(&stream.gateway, &stream.search.running, "cut", 200);
+                    record_end(&stream.gateway, &stream.search.running, "cut", 200);
                     Some((Err(BodyCut::BackendBroke), None))
                 }
             }
@@ -125,7 +130,7 @@
     }
 
     fn log_begun(&self) {
-        let Running {
+        let RunningRequest {
             call,
             route,
             work,
@@ -153,7 +158,7 @@
         let due = self.search.running.due;
         let gateway = Rc::clone(&self.gateway);
         let late = async {
-            until(&gateway, due).await;
+            sleep_until_due(&gateway, due).await;
             Next::Cut(CutCause::TimeOver)
         };
         smol::future::or(self.next_or_resume(), late).await
@@ -168,17 +173,17 @@
             let Some(run) = &mut self.run else {
                 return Next::Cut(CutCause::NoSuccessor);
             };
-            match within(time_limit, run.next()).await {
-                Some(Heard::Broke(cause)) => {
+            match with_timeout(time_limit, run.next()).await {
+                Some(Received::Broke(cause)) => {
                     self.note_broken(&cause);
-                    if !self.may_be_taken_up() {
+                    if !self.can_resume() {
                         return Next::Cut(CutCause::EngineBroke);
                     }
-                    return self.go_on_after_break().await;
+                    return self.resume_after_break().await;
                 }
-                Some(heard) => return self.take(heard),
+                Some(received) => return self.on_received(received),
                 None => {
-                    if let Some(next) = self.go_on_beside().await {
+                    if let Some(next) = self.resume_hedged().await {
                         return next;
                     }
                 }
@@ -187,25 +192,25 @@
     }
 
     /// Takes what the present engine said.
-    fn take(&mut self, heard: Heard) -> Next {
-        match heard {
-            Heard::Event(event) => {
+    fn on_received(&mut self, received: Received) -> Next {
+        match received {
+            Received::Event(event) => {
                 let now = self.gateway.now();
                 self.last_event_at = now;
-                let Running { call, begun, .. } = &self.search.running;
+                let RunningRequest { call, begun, .. } = &self.search.running;
                 note_begun(&self.gateway, call, begun, now);
                 let last_id = self.run.as_ref().and_then(EngineRun::last_id);
                 self.search.resume_after = last_id.map(str::to_owned);
                 Next::Event(event)
             }
-            Heard::End => {
+            Received::End => {
                 if let Some(run) = self.run.take() {
                     run.ended(&self.search.running.call);
                 }
                 self.ended = true;
                 Next::End
             }
-            Heard::Broke(cause) => {
+            Received::Broke(cause) => {
                 self.note_broken(&cause);
                 Next::Cut(CutCause::EngineBroke)
             }
@@ -214,15 +219,15 @@
 
     /// Whether another engine may go on after the last event: one that can't be
     /// told which that was would begin anew.
-    fn may_be_taken_up(&self) -> bool {
+    fn can_resume(&self) -> bool {
         let kind = self.search.running.work.kind;
         kind == WorkKind::ResumableStream && self.search.resume_after.is_some()
     }
 
     /// How long the next event is waited for before another engine is asked.
     fn event_timeout(&self) -> Option<Millis> {
-        let may_move_on = self.may_be_taken_up() && self.search.running.may_move_on();
-        may_move_on.then_some(self.search.running.silence.pause)
+        let may_fail_over = self.can_resume() && self.search.running.may_fail_over();
+        may_fail_over.then_some(self.search.running.silence.pause)
     }
 
     /// The engine broke off. Its connection is closed, which ends its work, and
--- a/components/forwarding-shell/src/stream/placing.rs
+++ b/components/forwarding-shell/src/stream/placement.rs
@@ -4,33 +4,33 @@
 use garnet_quarantine::QuarantineStatus;
 use garnet_types::{BackendId, Millis};
 
-use crate::attempt::{OpenAnswer, attempt, failed_with, log_failure};
-use crate::going_on::{apart, standing};
+use crate::attempt::{OpenAnswer, attempt, log_failure, status_cause};
+use crate::failover::{place_apart, quarantine_status};
 use crate::permits::{NotPlaced, place_within_limits};
 use crate::ports::{BackendPort, CallerPort, CopySource, Job, JobPhase};
-use crate::request::{Running, log_no_back_end};
+use crate::request::{RunningRequest, log_no_back_end};
 use crate::stopping::outlasts_stop;
 
-use super::search::{Refused, Search};
+use super::search::{NotStreamed, Search};
 
 impl<C: CallerPort + 'static, B: BackendPort + 'static> Search<C, B> {
     /// Whether no engine has seen the request, here or before.
     pub(super) fn is_new(&self) -> bool {
-        self.running.is_untried() && !self.was_read && self.resume_after.is_none()
+        self.running.is_untried() && !self.was_prefilled && self.resume_after.is_none()
     }
 
     /// Places a new request. One for which the engines have no time is turned
     /// away before any of them has seen it, or sent to be prefilled after the rest.
-    pub(super) fn place_new(&mut self) -> Result<Option<Placement>, Refused> {
+    pub(super) fn place_new(&mut self) -> Result<Option<Placement>, NotStreamed> {
         if outlasts_stop(&self.gateway, &self.running) {
             // Any other gateway may take it now.
-            return Err(Refused::Busy(Millis::ZERO));
+            return Err(NotStreamed::Busy(Millis::ZERO));
         }
-        if standing(&self.gateway, &self.running.call) != QuarantineStatus::Clear {
+        if quarantine_status(&self.gateway, &self.running.call) != QuarantineStatus::Clear {
             // Where it runs is said already, whoever has time.
             return Ok(self.place());
         }
-        let Running { service, work, .. } = &self.running;
+        let RunningRequest { service, work, .. } = &self.running;
         let now = self.gateway.now();
         let longest_gap = self.gateway.callers.longest_gap(&self.running.route);
         let arrival = self.running.arrival(longest_gap, now);
@@ -60,7 +60,7 @@
             came_back = arrival.is_retry;
             "admission_refused"
         );
-        Err(Refused::Busy(retry_after))
+        Err(NotStreamed::Busy(retry_after))
     }
 
     pub(super) fn copy_source(&self, holder: BackendId) -> Option<CopySource> {
@@ -80,7 +80,7 @@
         let answer = attempt(&self.gateway, &self.running.call, job).await;
         match &answer {
             Ok(open) if open.exchange.head.status.is_server_error() => {
-                let cause = failed_with(open.exchange.head.status);
+                let cause = status_cause(open.exchange.head.status);
                 log_failure(&self.running.call, job, &cause);
             }
             Ok(_) => {}
@@ -122,8 +122,8 @@
     }
 
     pub(super) fn place(&self) -> Option<Placement> {
-        let Running { service, work, .. } = &self.running;
-        apart(&self.gateway, &self.running, |tried| {
+        let RunningRequest { service, work, .. } = &self.running;
+        place_apart(&self.gateway, &self.running, |tried| {
             let now = self.gateway.now();
             let mut forwarder = self.gateway.forwarder.borrow_mut();
             forwarder.place(service, work, tried, true, now)
@@ -131,23 +131,23 @@
     }
 
     /// Places the request at an engine with a limit, within a permit.
-    pub(super) async fn place_with_permit(&self) -> Result<Placement, Refused> {
+    pub(super) async fn place_with_permit(&self) -> Result<Placement, NotStreamed> {
         let placed = place_within_limits(&self.gateway, &self.running, || self.place()).await;
         placed.map_err(|not_placed| match not_placed {
             NotPlaced::Unavailable(retry_after) if self.running.progress.surely_not_run() => {
-                Refused::Busy(retry_after)
+                NotStreamed::Busy(retry_after)
             }
-            NotPlaced::Unavailable(_) => Refused::GivenUp(self.running.progress.given_up()),
-            NotPlaced::Nobody => {
+            NotPlaced::Unavailable(_) => NotStreamed::GivenUp(self.running.progress.given_up()),
+            NotPlaced::NoBackend => {
                 log_no_back_end(&self.gateway, &self.running);
-                Refused::GivenUp(self.running.progress.given_up())
+                NotStreamed::GivenUp(self.running.progress.given_up())
             }
         })
     }
 
     pub(super) fn place_decode(&self, prefill_engine: &BackendId) -> Option<BackendId> {
         let service = &self.running.service;
-        apart(&self.gateway, &self.running, |tried| {
+        place_apart(&self.gateway, &self.running, |tried| {
             let now = self.gateway.now();
             let mut forwarder = self.gateway.forwarder.borrow_mut();
             let decode_engine = forwarder.place_decode(service, prefill_engine, tried, now);
@@ -155,7 +155,7 @@
             // than to refuse where nobody else is left.
             decode_engine.or_else(|| {
                 let mut tried = tried.to_vec();
-                tried.retain(|engine| !self.no_room_for_prompt.contains(engine));
+                tried.retain(|engine| !self.full_for_prompt.contains(engine));
                 forwarder.place_decode(service, prefill_engine, &tried, now)
             })
         })
--- a/components/forwarding-shell/src/stream/reading.rs
+++ b/components/forwarding-shell/src/stream/prefill.rs
@@ -8,19 +8,19 @@
 use garnet_types::BackendId;
 
 use crate::attempt::{OpenAnswer, note_silent};
-use crate::going_on::{can_go_elsewhere, go_on_beside, may_be_sent};
-use crate::handover::{WaitingCache, prefill, prefill_time_limit};
+use crate::failover::{admit_hedge, can_fail_over, may_be_sent};
+use crate::kv_transfer::{WaitingCache, prefill, prefill_time_limit};
 use crate::permits::place_within_limits;
 use crate::ports::{BackendPort, CallerPort, CopySource, Job, JobPhase};
 use crate::request::log_no_back_end;
-use crate::waiting::within;
+use crate::timeout::with_timeout;
 
-use super::search::{Opened, Refused, Search};
+use super::search::{NotStreamed, Opened, Search};
 
 /// What came of a prefill and of the engines that were asked beside it.
-enum Beside<C: CallerPort + 'static, B: BackendPort + 'static> {
+enum Hedged<C: CallerPort + 'static, B: BackendPort + 'static> {
     /// How the prefill ended.
-    Read(Result<WaitingCache<C, B>, AttemptEnd>),
+    Done(Result<WaitingCache<C, B>, AttemptEnd>),
     /// Another engine answers.
     Answer(Box<OpenAnswer<C, B>>),
 }
@@ -28,34 +28,34 @@
 /// Which of the two came to an end first.
 enum First<C: CallerPort + 'static, B: BackendPort + 'static> {
     Slow(Result<WaitingCache<C, B>, AttemptEnd>),
-    Others(Result<Box<OpenAnswer<C, B>>, Refused>),
+    Hedge(Result<Box<OpenAnswer<C, B>>, NotStreamed>),
 }
 
 impl<C: CallerPort + 'static, B: BackendPort + 'static> Search<C, B> {
-    pub(super) async fn read_at(
+    pub(super) async fn prefill_at(
         &mut self,
         prefill_engine: BackendId,
         source: Option<CopySource>,
-    ) -> Result<Opened<C, B>, Refused> {
+    ) -> Result<Opened<C, B>, NotStreamed> {
         let job = self.job(JobPhase::Prefill(source), prefill_engine.clone());
         let gateway = Rc::clone(&self.gateway);
         let call = Rc::clone(&self.running.call);
         let time_limit = prefill_time_limit(&gateway, &call, &job);
-        let mut reading = pin!(prefill(&gateway, &call, &job));
-        let read = loop {
-            if let Some(read) = within(time_limit, reading.as_mut()).await {
-                break read;
+        let mut prefilling = pin!(prefill(&gateway, &call, &job));
+        let prefilled = loop {
+            if let Some(prefilled) = with_timeout(time_limit, prefilling.as_mut()).await {
+                break prefilled;
             }
-            if self.begin_reading_beside(&job) {
-                match self.read_beside(reading).await? {
-                    Beside::Read(read) => break read,
-                    Beside::Answer(open) => return Ok(Ok(Some(*open))),
+            if self.begin_prefill_hedge(&job) {
+                match self.prefill_hedged(prefilling).await? {
+                    Hedged::Done(prefilled) => break prefilled,
+                    Hedged::Answer(open) => return Ok(Ok(Some(*open))),
                 }
             }
         };
-        Ok(match read {
+        Ok(match prefilled {
             Ok(cache) => {
-                self.was_read = true;
+                self.was_prefilled = true;
                 self.cache = Some(cache);
                 Ok(None)
             }
@@ -70,7 +70,7 @@
 
     /// Whether other engines may do the work beside a prefill engine that takes
     /// too long.
-    fn begin_reading_beside(&mut self, job: &Job) -> bool {
+    fn begin_prefill_hedge(&mut self, job: &Job) -> bool {
         if !self.running.tried.contains(&job.backend) {
             note_silent(&self.gateway, &self.running.call, job);
             self.running.tried.push(job.backend.clone());
@@ -79,8 +79,8 @@
         let count = |progress: &mut Progress| {
             progress.note(AttemptEnd::NotRun(NotRunReason::CacheGone));
         };
-        can_go_elsewhere(&self.gateway, &self.running, true)
-            && go_on_beside(&self.gateway, &mut self.running, count)
+        can_fail_over(&self.gateway, &self.running, true)
+            && admit_hedge(&self.gateway, &mut self.running, count)
     }
 
     /// Has other engines do the work beside a prefill engine that takes too long
@@ -89,43 +89,46 @@
     ///
     /// Invariant: what the slow engine read is used only where no other engine
     /// can have begun to generate, or the work may be repeated.
-    async fn read_beside(
+    async fn prefill_hedged(
         &mut self,
-        mut reading: Pin<&mut impl Future<Output = Result<WaitingCache<C, B>, AttemptEnd>>>,
-    ) -> Result<Beside<C, B>, Refused> {
+        mut prefilling: Pin<&mut impl Future<Output = Result<WaitingCache<C, B>, AttemptEnd>>>,
+    ) -> Result<Hedged<C, B>, NotStreamed> {
         let may_run = Rc::clone(&self.may_run);
-        let (read, others) = {
-            let mut others: Pin<Box<dyn Future<Output = _>>> = Box::pin(self.open());
+        let (prefilled, hedge) = {
+            let mut hedge: Pin<Box<dyn Future<Output = _>>> = Box::pin(self.open());
             let first = {
-                let slow = async { First::Slow(reading.as_mut().await) };
-                let others = async { First::Others(others.as_mut().await.map(Box::new)) };
-                smol::future::or(slow, others).await
+                let slow = async { First::Slow(prefilling.as_mut().await) };
+                let hedge = async { First::Hedge(hedge.as_mut().await.map(Box::new)) };
+                smol::future::or(slow, hedge).await
             };
             match first {
-                First::Slow(Ok(cache)) if !may_run.get() => return Ok(Beside::Read(Ok(cache))),
-                First::Slow(read) => (Some(read), others.await.map(Box::new)),
-                First::Others(outcome) => (None, outcome),
+                First::Slow(Ok(cache)) if !may_run.get() => {
+                    return Ok(Hedged::Done(Ok(cache)));
+                }
+                First::Slow(prefilled) => (Some(prefilled), hedge.await.map(Box::new)),
+                First::Hedge(outcome) => (None, outcome),
             }
         };
-        let refused = match others {
-            Ok(open) => return Ok(Beside::Answer(open)),
-            Err(refused) => refused,
+        let not_streamed = match hedge {
+            Ok(open) => return Ok(Hedged::Answer(open)),
+            Err(not_streamed) => not_streamed,
         };
         if !self.running.may_run_again() {
-            return Err(refused);
+            return Err(not_streamed);
         }
-        let read = match read {
-            Some(read) => read,
-            None => reading.await,
+        let prefilled = match prefilled {
+            Some(prefilled) => prefilled,
+            None => prefilling.await,
         };
         // Who looked on has told more than that the slow engine failed as well.
-        read.map(|cache| Beside::Read(Ok(cache)))
-            .map_err(|_| refused)
+        prefilled
+            .map(|cache| Hedged::Done(Ok(cache)))
+            .map_err(|_| not_streamed)
     }
 
     /// A prefill takes its time: who generates is chosen after it. The cache is
     /// kept for another decode engine where this one has not taken it.
-    pub(super) async fn generate(&mut self, cache: WaitingCache<C, B>) -> Opened<C, B> {
+    pub(super) async fn decode(&mut self, cache: WaitingCache<C, B>) -> Opened<C, B> {
         // The verdict on a request may fall while its prompt is prefilled, and
         // its time may pass.
         if !may_be_sent(&self.gateway, &self.running) {
--- a/components/forwarding-shell/src/stream/search.rs
+++ b/components/forwarding-shell/src/stream/search.rs
@@ -10,30 +10,30 @@
 use hyper::Response;
 
 use crate::attempt::OpenAnswer;
+use crate::buffered::copy_head;
+use crate::failover::{admit_hedge, can_fail_over, may_be_sent, on_attempt_ended, take_repeat};
 use crate::gateway::Gateway;
-use crate::going_on::{can_go_elsewhere, go_on, go_on_beside, may_be_sent, may_repeat};
-use crate::handover::WaitingCache;
+use crate::kv_transfer::WaitingCache;
 use crate::ports::{BackendPort, CallerPort, JobPhase};
-use crate::request::Running;
-use crate::whole::copy_head;
+use crate::request::RunningRequest;
 
-use super::engine_run::{EngineRun, Heard};
+use super::engine_run::{EngineRun, Received};
 
 /// Longest failure of an engine's own that is passed on, in bytes.
-const LONGEST_FAILURE: usize = 1024 * 1024;
+const MAX_FAILURE_BYTES: usize = 1024 * 1024;
 
 /// The search for engines that answer a request.
 pub(super) struct Search<C: CallerPort + 'static, B: BackendPort + 'static> {
     pub(super) gateway: Rc<Gateway<C, B>>,
-    pub(super) running: Running,
+    pub(super) running: RunningRequest,
     /// The last whole event that the caller has, for an engine to go on after.
     pub(super) resume_after: Option<String>,
     /// The prompt as one engine read it, for another to go on from.
     pub(super) cache: Option<WaitingCache<C, B>>,
     /// Engines that had no room to read the prompt and to generate.
-    pub(super) no_room_for_prompt: Vec<BackendId>,
+    pub(super) full_for_prompt: Vec<BackendId>,
     /// Whether an engine has read the prompt for this request before.
-    pub(super) was_read: bool,
+    pub(super) was_prefilled: bool,
     /// An engine's failure, to be passed on where no other engine answers.
     failure: Option<Box<Response<Body>>>,
     /// Set while an engine was sent the request and its end is not noted: where
@@ -44,11 +44,11 @@
 /// An engine that answers, and the first that it said.
 pub(super) struct Found<C: CallerPort, B: BackendPort> {
     pub(super) run: EngineRun<C, B>,
-    pub(super) first: Heard,
+    pub(super) first: Received,
 }
 
 /// Why no engine answers.
-pub(super) enum Refused {
+pub(super) enum NotStreamed {
     GivenUp(GivenUp),
     /// It would wait for too long: when to come back.
     Busy(Millis),
@@ -56,12 +56,12 @@
     Answered(Box<Response<Body>>),
 }
 
-impl Refused {
+impl NotStreamed {
     /// An engine's own failure tells more than that the request was given up.
     pub(super) fn or_answered(self, failure: Option<Box<Response<Body>>>) -> Self {
         match (self, failure) {
-            (Refused::GivenUp(_), Some(failure)) => Refused::Answered(failure),
-            (refused, _) => refused,
+            (NotStreamed::GivenUp(_), Some(failure)) => NotStreamed::Answered(failure),
+            (not_streamed, _) => not_streamed,
         }
     }
 }
@@ -71,14 +71,14 @@
 pub(super) type Opened<C, B> = Result<Option<OpenAnswer<C, B>>, AttemptEnd>;
 
 impl<C: CallerPort + 'static, B: BackendPort + 'static> Search<C, B> {
-    pub(super) fn new(gateway: &Rc<Gateway<C, B>>, running: Running) -> Self {
+    pub(super) fn new(gateway: &Rc<Gateway<C, B>>, running: RunningRequest) -> Self {
         Search {
             gateway: Rc::clone(gateway),
             resume_after: running.call.facts.resume_after.clone(),
             running,
             cache: None,
-            no_room_for_prompt: Vec::new(),
-            was_read: false,
+            full_for_prompt: Vec::new(),
+            was_prefilled: false,
             failure: None,
             may_run: Rc::default(),
         }
@@ -91,20 +91,20 @@
 
     /// Finds an engine that answers, and waits for its first event: until then
     /// it has promised nothing, and another engine may begin in its place.
-    pub(super) async fn find_run(&mut self) -> Result<Found<C, B>, Refused> {
+    pub(super) async fn find_run(&mut self) -> Result<Found<C, B>, NotStreamed> {
         loop {
             let open = self.open().await?;
             if !open.exchange.head.status.is_success() {
-                self.after_failure(open).await?;
+                self.on_failure_answer(open).await?;
                 continue;
             }
             let kind = self.running.work.kind;
             let mut run = EngineRun::new(open, self.resume_after.clone(), kind);
             match run.next().await {
-                Heard::Broke(cause) => {
+                Received::Broke(cause) => {
                     run.broke_off(&self.running.call);
                     self.log_broken(self.running.served_by.as_ref(), &cause);
-                    self.after(AttemptEnd::Broken)?;
+                    self.handle_attempt_end(AttemptEnd::Broken)?;
                 }
                 first => {
                     self.may_run.set(false);
@@ -116,10 +116,10 @@
 
     /// Begins to look for an engine that goes on beside the present one, which
     /// is silent; `false` where there is none, or no repeat for it.
-    pub(super) fn begin_beside(&mut self) -> bool {
+    pub(super) fn begin_hedge(&mut self) -> bool {
         self.note_tried();
-        let begins = can_go_elsewhere(&self.gateway, &self.running, true)
-            && go_on_beside(&self.gateway, &mut self.running, Progress::silent_begun);
+        let begins = can_fail_over(&self.gateway, &self.running, true)
+            && admit_hedge(&self.gateway, &mut self.running, Progress::silent_begun);
         if begins {
             log::info!(
                 request = self.running.call.facts.id.as_str(),
@@ -132,7 +132,7 @@
     }
 
     /// Ends a search that was dropped on its way.
-    pub(super) fn call_off(&mut self) {
+    pub(super) fn cancel(&mut self) {
         self.cache = None;
         if self.may_run.take() {
             self.running.progress.note(AttemptEnd::Broken);
@@ -148,30 +148,30 @@
     }
 
     /// Whether to go on after an attempt that ended with `end`.
-    pub(super) fn after(&mut self, end: AttemptEnd) -> Result<(), Refused> {
+    pub(super) fn handle_attempt_end(&mut self, end: AttemptEnd) -> Result<(), NotStreamed> {
         self.may_run.set(false);
         self.note_tried();
-        go_on(&self.gateway, &mut self.running, end).map_err(Refused::GivenUp)
+        on_attempt_ended(&self.gateway, &mut self.running, end).map_err(NotStreamed::GivenUp)
     }
 
     /// The engine answered with a failure of its own. Another engine may begin
     /// anew where the work may be repeated; else the failure is passed on.
-    async fn after_failure(&mut self, mut open: OpenAnswer<C, B>) -> Result<(), Refused> {
+    async fn on_failure_answer(&mut self, mut open: OpenAnswer<C, B>) -> Result<(), NotStreamed> {
         let head = copy_head(&open.exchange.head);
         let is_fault = head.status.is_server_error();
         if is_fault {
             open.guard.failed();
         }
-        let Ok(body) = open.exchange.read_whole(LONGEST_FAILURE).await else {
-            return self.after(AttemptEnd::Broken);
+        let Ok(body) = open.exchange.read_whole(MAX_FAILURE_BYTES).await else {
+            return self.handle_attempt_end(AttemptEnd::Broken);
         };
         open.exchange.finish();
         let answer = Box::new(Response::from_parts(head, bytes_body(body)));
-        if is_fault && self.after(AttemptEnd::Failed).is_ok() {
+        if is_fault && self.handle_attempt_end(AttemptEnd::Failed).is_ok() {
             self.failure = Some(answer);
             return Ok(());
         }
-        Err(Refused::Answered(answer))
+        Err(NotStreamed::Answered(answer))
     }
 
     pub(super) fn log_broken(&self, backend: Option<&BackendId>, cause: &str) {
@@ -185,25 +185,25 @@
     }
 
     /// Places the request until an engine answers.
-    pub(super) async fn open(&mut self) -> Result<OpenAnswer<C, B>, Refused> {
+    pub(super) async fn open(&mut self) -> Result<OpenAnswer<C, B>, NotStreamed> {
         loop {
             let opened = match self.cache.take() {
-                Some(cache) => self.generate(cache).await,
-                None => self.begin().await?,
+                Some(cache) => self.decode(cache).await,
+                None => self.send_next().await?,
             };
             match opened {
                 Ok(Some(open)) => return Ok(open),
                 Ok(None) => {}
-                Err(end) => self.after(end)?,
+                Err(end) => self.handle_attempt_end(end)?,
             }
         }
     }
 
     /// Has one engine do all of it, or one engine read the prompt for another.
     /// Gives no answer where a prompt was prefilled that waits for its decode engine.
-    async fn begin(&mut self) -> Result<Opened<C, B>, Refused> {
+    async fn send_next(&mut self) -> Result<Opened<C, B>, NotStreamed> {
         if !may_be_sent(&self.gateway, &self.running) {
-            return Err(Refused::GivenUp(self.running.progress.given_up()));
+            return Err(NotStreamed::GivenUp(self.running.progress.given_up()));
         }
         let placement = if self.is_new() {
             self.place_new()?
@@ -219,7 +219,7 @@
                 let job = self.job(JobPhase::Whole, backend.clone());
                 let sent = self.send(&job).await;
                 if matches!(sent, Err(AttemptEnd::NotRun(NotRunReason::Full))) {
-                    self.no_room_for_prompt.push(backend);
+                    self.full_for_prompt.push(backend);
                 }
                 Ok(sent.map(Some))
             }
@@ -229,11 +229,11 @@
             } => {
                 // The first prefill is none of the service's repeats; each later
                 // one is, beside the repeat that goes on from it.
-                if self.was_read && !may_repeat(&self.gateway, &self.running) {
-                    return Err(Refused::GivenUp(self.running.progress.given_up()));
+                if self.was_prefilled && !take_repeat(&self.gateway, &self.running) {
+                    return Err(NotStreamed::GivenUp(self.running.progress.given_up()));
                 }
                 let source = copy_from.and_then(|holder| self.copy_source(holder));
-                self.read_at(prefill_engine, source).await
+                self.prefill_at(prefill_engine, source).await
             }
         }
     }
--- a/components/forwarding-shell/src/stream/successor.rs
+++ b/components/forwarding-shell/src/stream/successor.rs
@@ -8,15 +8,15 @@
 use crate::ports::{BackendPort, CallerPort};
 
 use super::cut::CutCause;
-use super::engine_run::Heard;
-use super::search::{Found, Refused};
+use super::engine_run::Received;
+use super::search::{Found, NotStreamed};
 use super::{Next, Stream};
 
-/// Who was heard first of a silent engine and its successor.
+/// Who was received first of a silent engine and its successor.
 enum First<C: CallerPort + 'static, B: BackendPort + 'static> {
-    Silent(Heard),
+    Silent(Received),
     Successor {
-        found: Result<Box<Found<C, B>>, Refused>,
+        found: Result<Box<Found<C, B>>, NotStreamed>,
         /// How the silent engine broke off meanwhile, where it did.
         broke_off: Option<String>,
     },
@@ -30,67 +30,67 @@
     /// Invariant: the silent engine is closed once another one has delivered, not
     /// before. The other one may be full, silent or gone itself, while this one
     /// is sound and goes on in a moment.
-    pub(super) async fn go_on_beside(&mut self) -> Option<Next> {
+    pub(super) async fn resume_hedged(&mut self) -> Option<Next> {
         let silent = self.search.running.served_by.clone();
-        if !self.search.begin_beside() {
+        if !self.search.begin_hedge() {
             return None;
         }
         if let Some(run) = &mut self.run {
             run.note_silent();
         }
-        match self.first_heard().await {
-            First::Silent(heard) => {
-                self.search.call_off();
-                self.keep(silent);
-                Some(self.take(heard))
+        match self.first_received().await {
+            First::Silent(received) => {
+                self.search.cancel();
+                self.keep_silent_engine(silent);
+                Some(self.on_received(received))
             }
             First::Successor {
                 found: Err(_),
                 broke_off: None,
             } => {
-                self.keep(silent);
+                self.keep_silent_engine(silent);
                 None
             }
             First::Successor { found, broke_off } => {
                 self.search.running.progress.silent_ended();
-                self.leave(silent.as_ref(), broke_off);
+                self.drop_silent_engine(silent.as_ref(), broke_off);
                 let cut = Next::Cut(CutCause::NoSuccessor);
-                Some(found.map_or(cut, |found| self.adopt(*found)))
+                Some(found.map_or(cut, |found| self.switch_to(*found)))
             }
         }
     }
 
-    async fn first_heard(&mut self) -> First<C, B> {
+    async fn first_received(&mut self) -> First<C, B> {
         let Stream { search, run, .. } = self;
-        let mut seeking = pin!(search.find_run());
+        let mut searching = pin!(search.find_run());
         let mut broke_off = None;
         if let Some(run) = run {
             let silent = async { First::Silent(run.next().await) };
             let successor = async {
                 First::Successor {
-                    found: seeking.as_mut().await.map(Box::new),
+                    found: searching.as_mut().await.map(Box::new),
                     broke_off: None,
                 }
             };
             match smol::future::or(silent, successor).await {
-                First::Silent(Heard::Broke(cause)) => broke_off = Some(cause),
+                First::Silent(Received::Broke(cause)) => broke_off = Some(cause),
                 first => return first,
             }
         }
         First::Successor {
-            found: seeking.await.map(Box::new),
+            found: searching.await.map(Box::new),
             broke_off,
         }
     }
 
     /// The engine that was silent goes on to have the answer.
-    fn keep(&mut self, silent: Option<BackendId>) {
+    fn keep_silent_engine(&mut self, silent: Option<BackendId>) {
         self.search.running.served_by = silent;
         self.search.running.progress.silent_resumed();
     }
 
     /// The engine that was silent is out of it.
-    fn leave(&mut self, silent: Option<&BackendId>, broke_off: Option<String>) {
+    fn drop_silent_engine(&mut self, silent: Option<&BackendId>, broke_off: Option<String>) {
         let Some(run) = self.run.take() else {
             return;
         };
@@ -107,22 +107,22 @@
     }
 
     /// Goes on with another engine after the present one broke off.
-    pub(super) async fn go_on_after_break(&mut self) -> Next {
-        let found = match self.search.after(AttemptEnd::Broken) {
+    pub(super) async fn resume_after_break(&mut self) -> Next {
+        let found = match self.search.handle_attempt_end(AttemptEnd::Broken) {
             Ok(()) => self.search.find_run().await,
-            Err(refused) => Err(refused),
+            Err(not_streamed) => Err(not_streamed),
         };
         let cut = Next::Cut(CutCause::NoSuccessor);
-        found.map_or(cut, |found| self.adopt(found))
+        found.map_or(cut, |found| self.switch_to(found))
     }
 
-    fn adopt(&mut self, found: Found<C, B>) -> Next {
+    fn switch_to(&mut self, found: Found<C, B>) -> Next {
         log::info!(
             request = self.search.running.call.facts.id.as_str(),
             after = self.search.resume_after.as_deref().unwrap_or_default();
             "stream_resumed"
         );
         self.run = Some(found.run);
-        self.take(found.first)
+        self.on_received(found.first)
     }
 }
--- a/components/forwarding-shell/src/waiting.rs
+++ b/components/forwarding-shell/src/timeout.rs
@@ -7,7 +7,7 @@
 use smol::Timer;
 
 /// What comes within `time_limit`; all that comes where there is no limit.
-pub(crate) async fn within<T>(
+pub(crate) async fn with_timeout<T>(
     time_limit: Option<Millis>,
     work: impl Future<Output = T>,
 ) -> Option<T> {
--- a/components/forwarding-shell/src/unknown_names.rs
+++ b/components/forwarding-shell/src/unknown_headers.rs
@@ -6,26 +6,26 @@
 use std::collections::BTreeSet;
 
 use crate::metrics::GatewayMetrics;
-use crate::ports::{Job, ReadHead};
+use crate::ports::{Job, ParsedHead};
 
 /// Most distinct names that are counted; a back end may send any.
-const MOST_NAMES: usize = 32;
+const MAX_NAMES: usize = 32;
 /// Stands for all names beyond these.
 const OTHER_NAMES: &str = "other";
 
-/// Names that were met so far.
+/// Names that were seen so far.
 #[derive(Debug, Default)]
-pub(crate) struct UnknownNames(RefCell<BTreeSet<String>>);
+pub(crate) struct UnknownHeaders(RefCell<BTreeSet<String>>);
 
-impl UnknownNames {
+impl UnknownHeaders {
     /// Counts the names of an answer, and logs each one the first time.
-    pub(crate) fn note(&self, metrics: &GatewayMetrics, job: &Job, read: &ReadHead) {
-        for (name, value) in &read.unknown {
-            let mut met = self.0.borrow_mut();
-            if met.contains(name.as_str()) {
+    pub(crate) fn note(&self, metrics: &GatewayMetrics, job: &Job, parsed: &ParsedHead) {
+        for (name, value) in &parsed.unknown_headers {
+            let mut seen = self.0.borrow_mut();
+            if seen.contains(name.as_str()) {
                 metrics.unknown_name(name.as_str());
-            } else if met.len() < MOST_NAMES {
-                met.insert(name.as_str().to_owned());
+            } else if seen.len() < MAX_NAMES {
+                seen.insert(name.as_str().to_owned());
                 metrics.unknown_name(name.as_str());
                 log::warn!(
                     name = name.as_str(),
--- a/components/forwarding-shell/src/watch.rs
+++ b/components/forwarding-shell/src/watch.rs
@@ -17,7 +17,7 @@
 use smol::channel::{Receiver, Sender};
 
 use crate::gateway::{Gateway, connection_times};
-use crate::permits::{send_limit_reports, take_permit};
+use crate::permits::{handle_permit_answer, send_limit_reports};
 use crate::ports::{BackendPort, CallerPort};
 use crate::start::Replicas;
 
@@ -25,15 +25,15 @@
 /// each one asks, within bounds. Measured with eight gateways: asking each 32 ms
 /// serves more in time than each 120 ms, 24 ms hardly more.
 const INTERVAL_PER_GATEWAY_MS: u64 = 4;
-const SHORTEST_INTERVAL_MS: u64 = 30;
-const LONGEST_INTERVAL_MS: u64 = 250;
+const MIN_INTERVAL_MS: u64 = 30;
+const MAX_INTERVAL_MS: u64 = 250;
 /// How often idle connections are looked at, in watches.
-const SWEEP_EVERY: u32 = 6;
+const WATCHES_PER_SWEEP: u32 = 6;
 
 /// How often a gateway looks whether there is usage to tell.
-const USAGE_LOOK: Duration = Duration::from_millis(50);
+const USAGE_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 /// How often the leader's time is asked for where there is nothing to tell.
-const TIME_INTERVAL: Millis = Millis::from_secs(2);
+const TIME_REQUEST_INTERVAL: Millis = Millis::from_secs(2);
 
 /// The watch of one gateway.
 pub(crate) struct Watch<C, B> {
@@ -42,11 +42,11 @@
     replicas: Replicas,
     group: RefCell<Vec<String>>,
     group_index: Cell<u64>,
-    heard_at: Cell<Millis>,
+    received_at: Cell<Millis>,
     requests: Sender<GatewayRequest>,
-    usage_told_at: Cell<Millis>,
+    usage_reported_at: Cell<Millis>,
     /// Questions that were queued before a connection broke are stale.
-    queued: Receiver<GatewayRequest>,
+    pending_requests: Receiver<GatewayRequest>,
 }
 
 impl<C: CallerPort, B: BackendPort> Watch<C, B> {
@@ -55,24 +55,24 @@
         id: GatewayId,
         replicas: Replicas,
         requests: Sender<GatewayRequest>,
-        queued: Receiver<GatewayRequest>,
+        pending_requests: Receiver<GatewayRequest>,
     ) -> Self {
         Watch {
-            heard_at: Cell::new(gateway.started_at),
+            received_at: Cell::new(gateway.started_at),
             gateway,
             id,
             replicas,
             group: RefCell::default(),
             group_index: Cell::new(u64::MAX),
             requests,
-            usage_told_at: Cell::new(Millis::ZERO),
-            queued,
+            usage_reported_at: Cell::new(Millis::ZERO),
+            pending_requests,
         }
     }
 
     /// Time since the leader was heard.
     pub(crate) fn age(&self) -> Millis {
-        self.gateway.now().since(self.heard_at.get())
+        self.gateway.now().since(self.received_at.get())
     }
 
     /// Time until the leader is asked again. The work of the other gateways is
@@ -80,10 +80,10 @@
     fn interval(&self) -> Duration {
         let gateways = self.gateway.forwarder.borrow().gateways();
         let interval = gateways.saturating_mul(INTERVAL_PER_GATEWAY_MS);
-        Duration::from_millis(interval.clamp(SHORTEST_INTERVAL_MS, LONGEST_INTERVAL_MS))
+        Duration::from_millis(interval.clamp(MIN_INTERVAL_MS, MAX_INTERVAL_MS))
     }
 
-    fn ask(&self) {
+    fn request_update(&self) {
         let now = self.gateway.now();
         self.gateway.forwarder.borrow_mut().forget_unconfirmed(now);
         let report = self.gateway.forwarder.borrow_mut().report(now);
@@ -99,12 +99,12 @@
         };
         // What is lost is asked again.
         let _lost = self.requests.try_send(request);
-        self.tell_runs(now);
+        self.report_runs(now);
         send_limit_reports(&self.gateway);
     }
 
     /// Tells the leader of runs that ended with their engine.
-    fn tell_runs(&self, now: Millis) {
+    fn report_runs(&self, now: Millis) {
         let report = self.gateway.forwarder.borrow_mut().run_report(now);
         if let Some(report) = report {
             // What is lost is told again.
@@ -114,29 +114,29 @@
 
     /// Reports usage where there is any, and else asks for the time now and
     /// then.
-    fn tell_usage(&self) {
+    fn report_usage(&self) {
         let Some(usage) = &self.gateway.usage else {
             return;
         };
         let now = self.gateway.now();
-        let rested = now.since(self.usage_told_at.get());
+        let elapsed = now.since(self.usage_reported_at.get());
         let mut usage = usage.borrow_mut();
-        let rest = if usage.has_unlogged() {
+        let min_interval = if usage.has_unlogged() {
             usage_interval(self.gateway.forwarder.borrow().gateways())
         } else {
-            TIME_INTERVAL
+            TIME_REQUEST_INTERVAL
         };
-        if rested < rest {
+        if elapsed < min_interval {
             return;
         }
-        self.usage_told_at.set(now);
+        self.usage_reported_at.set(now);
         // What is lost is told again.
         let _lost = self
             .requests
             .try_send(GatewayRequest::Usage(usage.report()));
     }
 
-    fn hear_receipt(&self, receipt: &UsageReceipt) {
+    fn on_usage_receipt(&self, receipt: &UsageReceipt) {
         let Some(usage) = &self.gateway.usage else {
             return;
         };
@@ -147,9 +147,9 @@
         }
     }
 
-    fn hear(&self, reply: ControlReply) {
+    fn on_reply(&self, reply: ControlReply) {
         if let ControlReply::Usage(receipt) = &reply {
-            self.hear_receipt(receipt);
+            self.on_usage_receipt(receipt);
             return;
         }
         if let ControlReply::RunsNoted { through } = reply {
@@ -157,9 +157,9 @@
             return;
         }
         let reply = match reply {
-            ControlReply::Part(part) => return self.hear_part(part),
-            ControlReply::Limits(told) => return self.take_limits(&told),
-            ControlReply::Permit(answer) => return take_permit(&self.gateway, &answer),
+            ControlReply::Part(part) => return self.on_part(part),
+            ControlReply::Limits(limit_update) => return self.take_limits(&limit_update),
+            ControlReply::Permit(answer) => return handle_permit_answer(&self.gateway, &answer),
             reply => reply,
         };
         let ControlReply::Watch {
@@ -174,14 +174,14 @@
         else {
             return;
         };
-        self.heard_at.set(self.gateway.now());
-        self.gateway.permits.heard_leader(self.gateway.now());
+        self.received_at.set(self.gateway.now());
+        self.gateway.permits.on_leader_answer(self.gateway.now());
         if let Some(group) = group {
             self.group_index.set(group.index);
             *self.group.borrow_mut() = group.addresses;
         }
         let mut forwarder = self.gateway.forwarder.borrow_mut();
-        let before = InForce::of(&forwarder);
+        let before = ActiveConfiguration::of(&forwarder);
         let part = match update {
             WatchUpdate::Parts { index } => forwarder.on_parts_offered(index, self.gateway.now()),
             update => {
@@ -199,56 +199,60 @@
             forwarder.take_suspects(suspects);
         }
         drop(forwarder);
-        self.ask_for_part(part);
-        self.note_change(before);
+        self.request_part(part);
+        self.on_configuration_change(before);
     }
 
-    fn take_limits(&self, told: &LimitUpdate) {
+    fn take_limits(&self, limit_update: &LimitUpdate) {
         let now = self.gateway.now();
-        let over = self.gateway.forwarder.borrow_mut().take_limits(told, now);
-        for backend in over {
+        let unlimited = self
+            .gateway
+            .forwarder
+            .borrow_mut()
+            .take_limits(limit_update, now);
+        for backend in unlimited {
             log::info!(backend = backend.as_str(); "limit_over");
         }
     }
 
-    fn hear_part(&self, part: Option<ConfigurationPart>) {
+    fn on_part(&self, part: Option<ConfigurationPart>) {
         // One that is not to be had any more is offered under another index.
         let Some(part) = part else {
             return;
         };
         let now = self.gateway.now();
         let mut forwarder = self.gateway.forwarder.borrow_mut();
-        let before = InForce::of(&forwarder);
+        let before = ActiveConfiguration::of(&forwarder);
         let next = forwarder.take_configuration_part(part, now);
-        let is_whole = InForce::of(&forwarder) != before;
+        let is_complete = ActiveConfiguration::of(&forwarder) != before;
         drop(forwarder);
-        self.ask_for_part(next);
-        if is_whole {
-            self.note_change(before);
+        self.request_part(next);
+        if is_complete {
+            self.on_configuration_change(before);
             // What has changed since comes with the next answer.
-            self.ask();
+            self.request_update();
         }
     }
 
-    fn ask_for_part(&self, place: Option<PartRequest>) {
-        if let Some(place) = place {
+    fn request_part(&self, part_request: Option<PartRequest>) {
+        if let Some(part_request) = part_request {
             // What is lost is offered again.
-            let _lost = self.requests.try_send(GatewayRequest::Part(place));
+            let _lost = self.requests.try_send(GatewayRequest::Part(part_request));
         }
     }
 
-    fn hear_last_known(&self, configuration: Arc<Configuration>) {
+    fn on_last_known(&self, configuration: Arc<Configuration>) {
         let mut forwarder = self.gateway.forwarder.borrow_mut();
-        let before = InForce::of(&forwarder);
+        let before = ActiveConfiguration::of(&forwarder);
         forwarder.take_unconfirmed(configuration, self.gateway.now());
         drop(forwarder);
-        self.note_change(before);
+        self.on_configuration_change(before);
     }
 
     /// What follows where another configuration is in force than `before`.
-    fn note_change(&self, before: InForce) {
+    fn on_configuration_change(&self, before: ActiveConfiguration) {
         let forwarder = self.gateway.forwarder.borrow();
-        let after = InForce::of(&forwarder);
+        let after = ActiveConfiguration::of(&forwarder);
         if before == after {
             return;
         }
@@ -260,7 +264,7 @@
         let (open, known) = forwarder.open_backends(self.gateway.now());
         // Orders to engines raise the index again and again; hundreds of
         // gateways need not tell that.
-        let level = if before.is_alike(&after) {
+        let level = if before.differs_only_in_index(&after) {
             log::Level::Debug
         } else {
             log::Level::Info
@@ -280,22 +284,22 @@
 
 /// Which configuration a gateway works by.
 #[derive(PartialEq, Eq)]
-struct InForce {
+struct ActiveConfiguration {
     routes_version: Option<u64>,
     index: u64,
     is_confirmed: bool,
     known_backends: usize,
 }
 
-impl InForce {
+impl ActiveConfiguration {
     /// Whether both differ in the index only.
-    fn is_alike(&self, other: &Self) -> bool {
+    fn differs_only_in_index(&self, other: &Self) -> bool {
         let index = self.index;
-        InForce { index, ..*other } == *self
+        ActiveConfiguration { index, ..*other } == *self
     }
 
     fn of(forwarder: &Forwarder) -> Self {
-        InForce {
+        ActiveConfiguration {
             routes_version: forwarder.routes_version(),
             index: forwarder.configuration_index(),
             is_confirmed: forwarder.is_confirmed(),
@@ -325,19 +329,19 @@
     }
 
     fn connected(&self, version: EncodingVersion) {
-        while self.0.queued.try_recv().is_ok() {}
+        while self.0.pending_requests.try_recv().is_ok() {}
         let mut forwarder = self.0.gateway.forwarder.borrow_mut();
         forwarder.connected(version);
         drop(forwarder);
-        self.0.ask();
+        self.0.request_update();
     }
 
     fn heard(&self, reply: ControlReply) {
-        self.0.hear(reply);
+        self.0.on_reply(reply);
     }
 
     fn heard_last_known(&self, configuration: Arc<Configuration>) {
-        self.0.hear_last_known(configuration);
+        self.0.on_last_known(configuration);
     }
 }
 
@@ -348,21 +352,21 @@
     ChildSpec::new("watch", Restart::Permanent, move |stop: StopSignal| {
         let watch = Rc::clone(&watch);
         async move {
-            let asking = async {
-                let mut round: u32 = 0;
+            let watching = async {
+                let mut watches: u32 = 0;
                 loop {
                     Timer::after(watch.interval()).await;
                     if let Some(suspended) = watch.gateway.timers.look() {
                         log::warn!(for_ms = suspended.as_millis() as u64; "was_suspended");
                     }
-                    watch.ask();
-                    round = round.wrapping_add(1);
-                    if round.is_multiple_of(SWEEP_EVERY) {
+                    watch.request_update();
+                    watches = watches.wrapping_add(1);
+                    if watches.is_multiple_of(WATCHES_PER_SWEEP) {
                         watch.gateway.pool.sweep();
                     }
                 }
             };
-            smol::future::or(asking, stop.stopped()).await;
+            smol::future::or(watching, stop.stopped()).await;
             Ok::<(), ChildError>(())
         }
     })
@@ -375,13 +379,13 @@
     ChildSpec::new("usage", Restart::Permanent, move |stop: StopSignal| {
         let watch = Rc::clone(&watch);
         async move {
-            let telling = async {
+            let reporting = async {
                 loop {
-                    Timer::after(USAGE_LOOK).await;
-                    watch.tell_usage();
+                    Timer::after(USAGE_CHECK_INTERVAL).await;
+                    watch.report_usage();
                 }
             };
-            smol::future::or(telling, stop.stopped()).await;
+            smol::future::or(reporting, stop.stopped()).await;
             Ok::<(), ChildError>(())
         }
     })
