--- a/components/forwarding-shell/src/failover.rs
+++ b/components/forwarding-shell/src/failover.rs
@@ -23,7 +23,7 @@
         return Err(given_up);
     }
     // A suspected request whose run broke off has probably crashed one more engine. Its
-    // caller may retry, when all gateways know of the crash.
+    // caller may retry, at a gateway that knows of the crash by then.
     if end == AttemptEnd::Broken
         && quarantine_status(gateway, &running.call) == QuarantineStatus::Suspected
     {
--- a/components/forwarding-shell/src/stream/prefill.rs
+++ b/components/forwarding-shell/src/stream/prefill.rs
@@ -84,7 +84,7 @@
     }
 
     /// Sends the request to other engines while a slow prefill stays open. The first
-    /// result is used and the other side is closed. Both may be open at once, since a
+    /// to succeed is used and the other side is closed. Both may be open at once, since a
     /// prefill does not run the request.
     ///
     /// Invariant: the slow engine's KV cache is used only if no other engine can have
@@ -125,7 +125,7 @@
     }
 
     /// Decodes from a prefilled KV cache. The decode engine is chosen only now, since
-    /// loads change during a prefill. The cache is kept for another decode engine if
+    /// a prefill takes time. The cache is kept for another decode engine if
     /// this one did not take it.
     pub(super) async fn decode(&mut self, cache: WaitingCache<C, B>) -> Opened<C, B> {
         // The request may have been quarantined, or may have timed out, during the
--- a/components/forwarding-shell/src/watch.rs
+++ b/components/forwarding-shell/src/watch.rs
@@ -21,9 +21,9 @@
 use crate::ports::{BackendPort, CallerPort};
 use crate::start::Replicas;
 
-/// Interval between watch requests for each gateway of the fleet, so that the leader's load
-/// is bounded. With eight gateways, an interval of 32 ms serves more requests in time than
-/// 120 ms, and 24 ms hardly more.
+/// The interval between watch requests is this times the number of gateways, within the
+/// bounds below, since the leader answers all gateways. With eight gateways, an interval of
+/// 32 ms serves more requests in time than 120 ms, and 24 ms hardly more.
 const INTERVAL_PER_GATEWAY_MS: u64 = 4;
 const MIN_INTERVAL_MS: u64 = 30;
 const MAX_INTERVAL_MS: u64 = 250;
