--- a/components/forwarding-shell/src/going_on.rs
+++ b/components/forwarding-shell/src/failover.rs
@@ -1,4 +1,4 @@
-//! Whether a request may go on at another back end.
+//! Whether a request may be retried or hedged at another back end.
 
 use garnet_forwarding::{AttemptEnd, GivenUp, NextMove, Progress, next_move};
 use garnet_quarantine::QuarantineStatus;
@@ -6,15 +6,15 @@
 
 use crate::gateway::Gateway;
 use crate::ports::{BackendPort, Call, CallerPort};
-use crate::request::Running;
+use crate::request::RunningRequest;
 
-/// Notes the end of an attempt, and whether another one may follow it.
+/// Notes the end of an attempt and decides whether another one may follow.
 ///
 /// # Errors
-/// What giving the request up means, where none may.
-pub(crate) fn go_on<C: CallerPort, B: BackendPort>(
+/// What giving up the request means, if no other attempt may follow.
+pub(crate) fn on_attempt_ended<C: CallerPort, B: BackendPort>(
     gateway: &Gateway<C, B>,
-    running: &mut Running,
+    running: &mut RunningRequest,
     end: AttemptEnd,
 ) -> Result<(), GivenUp> {
     running.progress.note(end);
@@ -22,28 +22,29 @@
     if !may_be_sent(gateway, running) {
         return Err(given_up);
     }
-    // A suspected request whose run broke off has probably ended one more
-    // engine: its caller may come again, at whoever knows by then.
-    if end == AttemptEnd::Broken && standing(gateway, &running.call) == QuarantineStatus::Suspected
+    // A suspected request whose run broke off has probably crashed one more engine. Its
+    // caller may retry, at a gateway that knows of the crash by then.
+    if end == AttemptEnd::Broken
+        && quarantine_status(gateway, &running.call) == QuarantineStatus::Suspected
     {
         return Err(given_up);
     }
     match next_move(&running.work, &running.progress, end) {
         NextMove::TryAnother { repeat: false } => Ok(()),
-        NextMove::TryAnother { repeat: true } if may_repeat(gateway, running) => Ok(()),
+        NextMove::TryAnother { repeat: true } if take_repeat(gateway, running) => Ok(()),
         NextMove::TryAnother { repeat: true } => Err(given_up),
         NextMove::PassOn => Err(given_up),
         NextMove::GiveUp(given_up) => Err(given_up),
     }
 }
 
-/// Whether another back end is there to go on with, and a repeat for it.
-pub(crate) fn can_go_elsewhere<C: CallerPort, B: BackendPort>(
+/// Whether another back end can take the request and the budget has a repeat for it.
+pub(crate) fn can_fail_over<C: CallerPort, B: BackendPort>(
     gateway: &Gateway<C, B>,
-    running: &Running,
+    running: &RunningRequest,
     may_hand_over: bool,
 ) -> bool {
-    let Running {
+    let RunningRequest {
         service,
         work,
         tried,
@@ -57,31 +58,32 @@
             .is_some()
 }
 
-/// Whether another back end may be asked beside one that is silent and waited
-/// for, which `count` counts; takes a repeat for it.
-pub(crate) fn go_on_beside<C: CallerPort, B: BackendPort>(
+/// Whether the request may be hedged: sent to another back end while the attempt at a
+/// silent one stays open. `count` counts the silent attempt. Takes a repeat from the
+/// budget.
+pub(crate) fn admit_hedge<C: CallerPort, B: BackendPort>(
     gateway: &Gateway<C, B>,
-    running: &mut Running,
+    running: &mut RunningRequest,
     count: impl FnOnce(&mut Progress),
 ) -> bool {
-    // One more engine may end under a suspected request.
+    // A suspected request may crash one more engine.
     if !may_be_sent(gateway, running)
-        || standing(gateway, &running.call) == QuarantineStatus::Suspected
+        || quarantine_status(gateway, &running.call) == QuarantineStatus::Suspected
     {
         return false;
     }
     let before = running.progress;
     count(&mut running.progress);
     let next = next_move(&running.work, &running.progress, AttemptEnd::Broken);
-    let begins = matches!(next, NextMove::TryAnother { .. }) && may_repeat(gateway, running);
+    let begins = matches!(next, NextMove::TryAnother { .. }) && take_repeat(gateway, running);
     if !begins {
         running.progress = before;
     }
     begins
 }
 
-/// How a request stands; its body is hashed only where any is suspected.
-pub(crate) fn standing<C: CallerPort, B: BackendPort>(
+/// Quarantine status of a request. Its body is hashed only if any request is suspected.
+pub(crate) fn quarantine_status<C: CallerPort, B: BackendPort>(
     gateway: &Gateway<C, B>,
     call: &Call,
 ) -> QuarantineStatus {
@@ -92,23 +94,24 @@
     forwarder.standing(call.fingerprint())
 }
 
-/// Whether the request may be sent to no engine, since engines ended under it.
-pub(crate) fn is_refused<C: CallerPort, B: BackendPort>(
+/// Whether the request may be sent to no engine, since engines crashed while running it.
+pub(crate) fn is_quarantined<C: CallerPort, B: BackendPort>(
     gateway: &Gateway<C, B>,
     call: &Call,
 ) -> bool {
-    standing(gateway, call) == QuarantineStatus::Refused
+    quarantine_status(gateway, call) == QuarantineStatus::Refused
 }
 
-/// Places a request that is suspected apart from others like it, and any other
-/// one wherever `place` puts it, which is given the back ends to leave out.
-pub(crate) fn apart<C: CallerPort, B: BackendPort, T>(
+/// Places a request with `place`, which is given the back ends to leave out. A suspected
+/// request goes to its isolation back end if that can take it, apart from other suspected
+/// requests.
+pub(crate) fn place_apart<C: CallerPort, B: BackendPort, T>(
     gateway: &Gateway<C, B>,
-    running: &Running,
+    running: &RunningRequest,
     place: impl Fn(&[BackendId]) -> Option<T>,
 ) -> Option<T> {
-    let Running { service, tried, .. } = running;
-    if standing(gateway, &running.call) != QuarantineStatus::Suspected {
+    let RunningRequest { service, tried, .. } = running;
+    if quarantine_status(gateway, &running.call) != QuarantineStatus::Suspected {
         return place(tried);
     }
     let mut left_out = {
@@ -120,20 +123,20 @@
     place(&left_out).or_else(|| place(tried))
 }
 
-/// Whether the request may be sent to another back end. It may not where its
-/// time is over, which shows here first when the machine was suspended.
+/// Whether the request may still be sent to a back end: it has time left and is not
+/// quarantined. After a suspension of the machine, an expired time is noticed here first.
 pub(crate) fn may_be_sent<C: CallerPort, B: BackendPort>(
     gateway: &Gateway<C, B>,
-    running: &Running,
+    running: &RunningRequest,
 ) -> bool {
     let is_in_time = running.remaining(gateway.now()) > Millis::ZERO;
-    is_in_time && !is_refused(gateway, &running.call)
+    is_in_time && !is_quarantined(gateway, &running.call)
 }
 
-/// Takes one repeat from the service's budget, and tells when none is left.
-pub(crate) fn may_repeat<C: CallerPort, B: BackendPort>(
+/// Takes one repeat from the service's budget; logs it if none is left.
+pub(crate) fn take_repeat<C: CallerPort, B: BackendPort>(
     gateway: &Gateway<C, B>,
-    running: &Running,
+    running: &RunningRequest,
 ) -> bool {
     let now = gateway.now();
     let mut forwarder = gateway.forwarder.borrow_mut();
