--- a/components/consensus/src/config.rs
+++ b/components/consensus/src/config.rs
@@ -1,44 +1,44 @@
-//! Timing and batching of a node.
+//! Timing and batching parameters of a node.
 
 use garnet_types::{Millis, ReplicaId};
 
-/// Clocks drift apart by less than this part of a lease while it runs.
-const LEASE_PER_DRIFT: u64 = 10;
+/// Allowance for clock drift during a lease, as the divisor of the lease duration.
+const LEASE_DRIFT_DIVISOR: u64 = 10;
 
 /// Settings of one node. All replicas of a group must use the same timing.
 #[derive(Debug, Clone)]
 pub struct Config {
-    /// This replica.
+    /// Identity of this replica.
     pub id: ReplicaId,
-    /// A follower that hears no leader for this long, plus a random part of
-    /// the same length, starts a pre-vote. Votes are refused for this long
-    /// after a leader was heard.
+    /// A follower that receives nothing from a leader for this long, plus a
+    /// random delay of up to the same length, starts a pre-vote. A replica
+    /// refuses votes for this long after a message from a leader.
     pub election_timeout: Millis,
-    /// How often a leader sends when it has nothing new.
+    /// Interval of heartbeats to a follower that is sent nothing else.
     pub heartbeat_interval: Millis,
-    /// How long a lease lasts from the moment its heartbeat was sent. It must
-    /// be shorter than `election_timeout` by more than the clocks can drift
-    /// apart in that span.
+    /// Duration of a lease, counted from when its heartbeat was sent. It must be
+    /// shorter than `election_timeout` by more than the clocks can drift apart
+    /// in that time.
     pub lease_duration: Millis,
-    /// Most entries in one message.
+    /// Maximum count of entries in one message.
     pub max_batch_entries: usize,
-    /// Most bytes of entries in one message, unless one entry alone has more.
+    /// Maximum bytes of entries in one message; a single larger entry is sent alone.
     pub max_batch_bytes: usize,
-    /// Most messages with entries under way to one follower.
+    /// Maximum count of messages with entries in flight to one follower.
     pub max_inflight: usize,
-    /// Bytes of a snapshot in one message.
+    /// Size of a snapshot chunk, in bytes.
     pub snapshot_chunk_bytes: usize,
     /// Seed of the election jitter.
     pub seed: u64,
 }
 
 impl Config {
-    /// The lease with an allowance for clocks that run at different speeds.
+    /// The lease duration plus an allowance for clock drift.
     pub(crate) fn lease_with_drift(&self) -> Millis {
-        self.lease_duration + Millis(self.lease_duration.0 / LEASE_PER_DRIFT)
+        self.lease_duration + Millis(self.lease_duration.0 / LEASE_DRIFT_DIVISOR)
     }
 
-    /// Timing for replicas a few milliseconds apart.
+    /// Default parameters, for replicas with a round trip of a few milliseconds.
     pub fn new(id: ReplicaId, seed: u64) -> Self {
         Config {
             id,
--- a/components/consensus/src/election.rs
+++ b/components/consensus/src/election.rs
@@ -1,4 +1,4 @@
-//! Pre-vote, election and the handing over of the leader's office.
+//! Pre-vote, election and leadership transfer.
 
 use garnet_types::{Millis, ReplicaId};
 
@@ -9,11 +9,12 @@
 use crate::progress::Progress;
 
 impl Node {
-    /// Asks the caught-up follower with the longest log to lead, for a planned
-    /// stop. Proposals are refused meanwhile.
+    /// Starts a leadership transfer, before a planned stop, to the most recently
+    /// reachable voter that holds the whole log. Proposals are refused during
+    /// the transfer.
     ///
     /// # Errors
-    /// When this replica does not lead, or no other voter is caught up.
+    /// When this replica is not the leader, or no other voter holds the whole log.
     pub fn transfer_leadership(&mut self) -> Result<ReplicaId, ProposeError> {
         self.check_may_propose()?;
         let last = self.log.last_index();
@@ -31,20 +32,20 @@
     }
 
     pub(crate) fn tick_election(&mut self) {
-        let may_stand = self.membership.is_voter(self.config.id) && !self.stands_aside;
-        if !may_stand {
+        let may_campaign = self.membership.is_voter(self.config.id) && !self.candidacy_disabled;
+        if !may_campaign {
             return;
         }
         if self.now >= self.election_due {
             self.campaign(true, false);
-        } else if self.now.since(self.asked_at) >= self.config.heartbeat_interval {
-            self.ask_again();
+        } else if self.now.since(self.votes_requested_at) >= self.config.heartbeat_interval {
+            self.resend_vote_requests();
         }
     }
 
-    /// Asks again those that have not answered: a request may be lost, and an
-    /// election with it.
-    fn ask_again(&mut self) {
+    /// Resends vote requests to the voters that have not granted one, as a lost
+    /// request could otherwise fail the election.
+    fn resend_vote_requests(&mut self) {
         let term = self.hard_state.term;
         match self.role {
             PeerRole::PreCandidate => self.request_votes(term + 1, true),
@@ -55,8 +56,8 @@
 
     pub(crate) fn handle_timeout_now(&mut self, from: ReplicaId) {
         let from_leader = self.leader == Some(from);
-        let may_stand = self.membership.is_voter(self.config.id) && !self.stands_aside;
-        if from_leader && may_stand {
+        let may_campaign = self.membership.is_voter(self.config.id) && !self.candidacy_disabled;
+        if from_leader && may_campaign {
             self.campaign(false, true);
         }
     }
@@ -73,19 +74,19 @@
         };
         let log_is_current =
             (last_term, last_index) >= (self.log.last_term(), self.log.last_index());
-        let lease_may_stand = self.now < self.no_vote_before && !transfer;
-        let vote_is_free = match self.hard_state.voted_for {
+        let lease_may_be_valid = self.now < self.no_vote_before && !transfer;
+        let vote_is_available = match self.hard_state.voted_for {
             Some(voted) => voted == envelope.from,
             None => !self.is_leader(),
         };
-        let free = pre_vote || vote_is_free;
-        let granted = log_is_current && free && !lease_may_stand;
+        let may_grant = pre_vote || vote_is_available;
+        let granted = log_is_current && may_grant && !lease_may_be_valid;
         if granted && !pre_vote {
             self.hard_state.voted_for = Some(envelope.from);
             self.hard_state_changed = true;
             self.reset_election_timer();
         }
-        // A granted pre-vote is answered in the term it asks about.
+        // The reply to a granted pre-vote carries the term of the request.
         let reply_term = if pre_vote && granted {
             envelope.term
         } else {
@@ -105,12 +106,12 @@
         pre_vote: bool,
         granted: bool,
     ) {
-        let awaited = match self.role {
+        let is_expected = match self.role {
             PeerRole::PreCandidate => pre_vote && term == self.hard_state.term + 1,
             PeerRole::Candidate => !pre_vote && term == self.hard_state.term,
             _ => false,
         };
-        if !awaited || !granted {
+        if !is_expected || !granted {
             return;
         }
         self.votes.insert(from);
@@ -131,16 +132,16 @@
             self.hard_state.voted_for = Some(self.config.id);
             self.hard_state_changed = true;
         }
-        self.asked_by_transfer = transfer;
+        self.campaign_is_transfer = transfer;
         self.request_votes(term, pre_vote);
         self.count_votes();
     }
 
     fn request_votes(&mut self, term: u64, pre_vote: bool) {
-        self.asked_at = self.now;
+        self.votes_requested_at = self.now;
         let message = Message::RequestVote {
             pre_vote,
-            transfer: self.asked_by_transfer,
+            transfer: self.campaign_is_transfer,
             last_index: self.log.last_index(),
             last_term: self.log.last_term(),
         };
@@ -172,7 +173,7 @@
         self.append(EntryPayload::Noop);
     }
 
-    /// Gives every other member a progress record and forgets removed ones.
+    /// Adds a progress record for each new member and drops those of removed members.
     pub(crate) fn track_members(&mut self) {
         let next = self.log.last_index() + 1;
         let own = self.config.id;
@@ -191,7 +192,7 @@
         self.membership.voters().filter(|id| *id != own).collect()
     }
 
-    /// When `id` is known to have been in touch, by this leader's clock.
+    /// When the latest message that `id` acknowledged was sent, by this leader's clock.
     pub(crate) fn acknowledged_at(&self, id: ReplicaId) -> Option<Millis> {
         if id == self.config.id {
             return Some(self.now);
--- a/components/consensus/src/entry.rs
+++ b/components/consensus/src/entry.rs
@@ -1,4 +1,4 @@
-//! What the log, the hard state and a snapshot hold.
+//! Contents of the log, the hard state and a snapshot.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -6,14 +6,15 @@
 use garnet_types::ReplicaId;
 use serde::{Deserialize, Serialize};
 
-/// One replica as the group knows it.
+/// One replica of the group.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// Where peers and gateways reach it, as the driver understands it.
+    /// Address for peers and gateways; its format is up to the driver.
     pub peer_address: String,
-    /// Where operators reach it, as the driver understands it.
+    /// Address of its admin interface; its format is up to the driver.
     pub admin_address: String,
-    /// A voter counts in quorums; a learner only receives the log.
+    /// Whether it is a voter, which counts in quorums, or a learner, which only
+    /// receives the log.
     pub voter: bool,
 }
 
@@ -25,7 +26,7 @@
 }
 
 impl Membership {
-    /// The voters, in order.
+    /// The voters, ordered by identity.
     pub fn voters(&self) -> impl Iterator<Item = ReplicaId> + '_ {
         self.members
             .iter()
@@ -33,38 +34,38 @@
             .map(|(id, _)| *id)
     }
 
-    /// Whether `id` votes.
+    /// Whether `id` is a voter.
     pub fn is_voter(&self, id: ReplicaId) -> bool {
         self.members.get(&id).is_some_and(|member| member.voter)
     }
 
-    /// Votes that make a majority.
+    /// Number of votes that form a majority.
     pub fn quorum(&self) -> usize {
         self.voters().count() / 2 + 1
     }
 
-    /// Whether `granted` holds a majority of the voters.
+    /// Whether `granted` is true for a majority of the voters.
     pub fn has_quorum(&self, granted: impl Fn(ReplicaId) -> bool) -> bool {
         self.voters().filter(|id| granted(*id)).count() >= self.quorum()
     }
 }
 
-/// What an entry carries.
+/// The content of an entry.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum EntryPayload {
-    /// Written by each new leader, so that it can commit what came before.
+    /// Appended by each new leader so that it can commit entries of earlier terms.
     Noop,
-    /// A command of the state machine above.
+    /// A command for the replicated state machine.
     Command(#[serde(with = "serde_bytes")] Vec<u8>),
-    /// The group from this entry on.
+    /// The members of the group from this entry on.
     Membership(Membership),
 }
 
-/// About as many bytes as one member takes in a message.
+/// Approximate encoded size of one member.
 const MEMBER_BYTES: usize = 64;
 
 impl EntryPayload {
-    /// About as many bytes as it takes in a message.
+    /// Approximate encoded size, in bytes.
     pub fn len_bytes(&self) -> usize {
         match self {
             EntryPayload::Noop => 0,
@@ -77,15 +78,15 @@
 /// One entry of the log.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// Position, from 1.
+    /// Index in the log, starting at 1.
     pub index: u64,
-    /// Term of the leader that wrote it.
+    /// Term of the leader that appended it.
     pub term: u64,
     /// Content.
     pub payload: EntryPayload,
 }
 
-/// What must be durable before any message that relies on it is sent.
+/// State that must be durable before any message that depends on it is sent.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HardState {
     /// Highest term seen.
@@ -94,15 +95,15 @@
     pub voted_for: Option<ReplicaId>,
 }
 
-/// The state machine at one index, in place of the log up to it.
+/// The state machine at one index; it replaces the log up to that index.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// Last entry it covers.
+    /// Index of the last entry that it covers.
     pub index: u64,
     /// Term of that entry.
     pub term: u64,
-    /// The group at that entry.
+    /// Members of the group at that entry.
     pub membership: Membership,
-    /// The state machine's own bytes.
+    /// The encoded state machine.
     pub data: Arc<Vec<u8>>,
 }
--- a/components/consensus/src/lib.rs
+++ b/components/consensus/src/lib.rs
@@ -1,10 +1,10 @@
-//! A replicated log with one leader, in the shape of Raft, free of I/O.
+//! A replicated log based on the Raft consensus algorithm, without I/O.
 //!
-//! Contract: [`Node`] takes messages ([`Node::step`]), the time
-//! ([`Node::tick`]) and proposals ([`Node::propose`]). Its driver then takes a
-//! [`Ready`], makes its hard state, snapshot and entries durable **in that
-//! order and synced**, calls [`Node::advance`], and only then sends the
-//! messages and applies the committed entries.
+//! Contract: the inputs of a [`Node`] are messages ([`Node::step`]), the time
+//! ([`Node::tick`]) and proposals ([`Node::propose`]). Its driver then fetches a
+//! [`Ready`], writes and syncs its hard state, snapshot and entries **in that
+//! order**, calls [`Node::advance`], and only then sends the messages and
+//! applies the committed entries.
 //!
 //! Source: Ongaro, "Consensus: Bridging Theory and Practice" (2014): sections
 //! 3 (core), 4 (single-server membership change), 5 (snapshots), 6.4 (leader
--- a/components/consensus/src/log.rs
+++ b/components/consensus/src/log.rs
@@ -1,8 +1,8 @@
-//! The log in memory: what follows the latest snapshot.
+//! The in-memory log after the latest snapshot.
 
 use crate::entry::{Entry, EntryPayload, Membership};
 
-/// Entries after a snapshot, with the position up to which they are durable.
+/// Entries after a snapshot, and the index up to which they are durable.
 #[derive(Debug, Clone, Default)]
 pub struct ReplicatedLog {
     snapshot_index: u64,
@@ -12,7 +12,7 @@
 }
 
 impl ReplicatedLog {
-    /// A log read back from disk; everything in it is durable.
+    /// Restores a log from disk; all of its entries are durable.
     pub fn restored(snapshot_index: u64, snapshot_term: u64, entries: Vec<Entry>) -> Self {
         let persisted_index = entries.last().map_or(snapshot_index, |entry| entry.index);
         ReplicatedLog {
@@ -40,7 +40,7 @@
             .map_or(self.snapshot_term, |entry| entry.term)
     }
 
-    /// Highest durable index.
+    /// Index of the last durable entry.
     pub fn persisted_index(&self) -> u64 {
         self.persisted_index
     }
@@ -62,14 +62,14 @@
         &self.entries[start..end]
     }
 
-    /// Entries from `from` on for one message: so many, of so many bytes, and one
-    /// in any case.
-    pub fn batch(&self, from: u64, limit: usize, limit_bytes: usize) -> &[Entry] {
+    /// Entries from `from` on for one message: at most `limit` entries and
+    /// `max_bytes` bytes, but at least one entry if there is any.
+    pub fn batch(&self, from: u64, limit: usize, max_bytes: usize) -> &[Entry] {
         let entries = self.slice(from, limit);
         let mut bytes = 0;
         let fits = |entry: &&Entry| {
             bytes += entry.payload.len_bytes();
-            bytes <= limit_bytes
+            bytes <= max_bytes
         };
         let count = entries.iter().take_while(fits).count();
         &entries[..count.max(1).min(entries.len())]
@@ -86,7 +86,7 @@
         self.entries.push(entry);
     }
 
-    /// Drops every entry from `index` on; they are no longer durable either.
+    /// Drops all entries from `index` on, and lowers the durable index accordingly.
     pub fn truncate_from(&mut self, index: u64) {
         if let Some(at) = self.position(index) {
             self.entries.truncate(at);
@@ -94,15 +94,15 @@
         }
     }
 
-    /// Notes that entries up to `index` of `term` are durable. Ignored when
-    /// they were replaced meanwhile.
+    /// Marks the entries up to `index` as durable. Does nothing if the entry at
+    /// `index` no longer has this `term`, because it was replaced.
     pub fn mark_persisted(&mut self, index: u64, term: u64) {
         if self.term_at(index) == Some(term) {
             self.persisted_index = self.persisted_index.max(index);
         }
     }
 
-    /// Drops entries that a snapshot covers, keeping the rest.
+    /// Drops the entries up to `index`, which a snapshot covers.
     pub fn compact(&mut self, index: u64) {
         let Some(at) = self.position(index) else {
             return;
@@ -112,12 +112,12 @@
         self.entries.drain(..=at);
     }
 
-    /// Replaces the whole log by a snapshot from the leader.
+    /// Replaces the log with a snapshot from the leader.
     pub fn reset(&mut self, index: u64, term: u64) {
         *self = ReplicatedLog::restored(index, term, Vec::new());
     }
 
-    /// The newest membership in the log, if any entry holds one.
+    /// The latest membership entry in the log with its index, if there is one.
     pub fn latest_membership(&self) -> Option<(u64, &Membership)> {
         self.entries
             .iter()
--- a/components/consensus/src/membership.rs
+++ b/components/consensus/src/membership.rs
@@ -1,9 +1,9 @@
 //! Membership changes, one replica at a time.
 //!
-//! Two groups that differ by one voter share a member in any two majorities,
-//! so a change is in force as soon as it is in the log. The next one may start
-//! only when the last is committed, and only after the leader has committed an
-//! entry of its own term (the correction of 2015 to section 4.1).
+//! Any majorities of two groups that differ by one voter have a member in
+//! common, so a change takes effect as soon as it is appended. The next change
+//! may start only when the previous one is committed and the leader has
+//! committed an entry of its own term (the 2015 correction to section 4.1).
 
 use garnet_types::{Millis, ReplicaId};
 
@@ -11,14 +11,14 @@
 use crate::error::ProposeError;
 use crate::node::Node;
 
-/// How far a learner's log may lag when it is given a vote, in entries.
+/// Maximum count of entries by which a replica may lag and still be caught up.
 pub(crate) const CAUGHT_UP_ENTRIES: u64 = 64;
 
 impl Node {
-    /// Adds a replica that receives the log and does not vote.
+    /// Adds a learner: a replica that receives the log and does not vote.
     ///
     /// # Errors
-    /// As [`ProposeError`] says; nothing is changed then.
+    /// See [`ProposeError`]; nothing changes then.
     pub fn add_learner(
         &mut self,
         id: ReplicaId,
@@ -39,10 +39,10 @@
         Ok(self.change_membership(next))
     }
 
-    /// Gives a caught-up learner its vote.
+    /// Makes a caught-up learner a voter.
     ///
     /// # Errors
-    /// As [`ProposeError`] says; nothing is changed then.
+    /// See [`ProposeError`]; nothing changes then.
     pub fn promote(&mut self, id: ReplicaId) -> Result<u64, ProposeError> {
         self.check_may_change()?;
         let mut next = self.membership.clone();
@@ -60,40 +60,40 @@
         Ok(self.change_membership(next))
     }
 
-    /// Takes a replica out of the group.
+    /// Removes a replica from the group.
     ///
     /// # Errors
-    /// As [`ProposeError`] says; nothing is changed then. The last voter, and a
-    /// voter without which the reachable ones are no quorum, stay.
+    /// See [`ProposeError`]; nothing changes then. The last voter can't be
+    /// removed, nor one without which the reachable voters are no quorum.
     pub fn remove_member(&mut self, id: ReplicaId) -> Result<u64, ProposeError> {
         self.check_may_change()?;
         let mut next = self.membership.clone();
         next.members
             .remove(&id)
             .ok_or(ProposeError::UnknownMember(id))?;
-        if !self.reachable_quorum(&next) {
+        if !self.has_reachable_quorum(&next) {
             return Err(ProposeError::WouldLoseQuorum);
         }
         Ok(self.change_membership(next))
     }
 
-    /// Whether a majority of the group without `id` answered a message that
-    /// was sent at `since` or later: a removal can surely be committed then.
+    /// Whether a majority of the group without `id` acknowledged a message sent
+    /// at `since` or later, so that the removal of `id` can be committed.
     pub fn confirms_quorum_without(&self, id: ReplicaId, since: Millis) -> bool {
         let mut next = self.membership.clone();
         next.members.remove(&id);
-        let answered = |voter| self.acknowledged_at(voter).is_some_and(|at| at >= since);
-        next.has_quorum(answered)
+        let acknowledged = |voter| self.acknowledged_at(voter).is_some_and(|at| at >= since);
+        next.has_quorum(acknowledged)
     }
 
-    /// Whether one more voter could be lost now without losing the quorum:
-    /// a repair is not done before this holds.
+    /// Whether the group would keep its quorum if one more voter failed now. A
+    /// group repair is complete only when this holds.
     pub fn survives_one_loss(&self) -> bool {
         let last = self.log.last_index();
         let current = self
             .membership
             .voters()
-            .filter(|id| self.is_current(*id, last))
+            .filter(|id| self.is_nearly_current(*id, last))
             .count();
         self.is_leader() && current > self.membership.quorum()
     }
@@ -123,24 +123,24 @@
         index
     }
 
-    fn reachable_quorum(&self, next: &Membership) -> bool {
-        next.voters().count() > 0 && next.has_quorum(|id| self.is_in_touch(id))
+    fn has_reachable_quorum(&self, next: &Membership) -> bool {
+        next.voters().count() > 0 && next.has_quorum(|id| self.is_reachable(id))
     }
 
-    /// Whether a member answered within the last heartbeats. One that died a
-    /// moment longer ago must not count: a change that then needs it could
-    /// never be committed, and the change is in force from its proposal on.
-    fn is_in_touch(&self, id: ReplicaId) -> bool {
+    /// Whether a member acknowledged a message of the last two heartbeat
+    /// intervals. A longer window could count a member that has failed: a change
+    /// that needs it could never be committed, but takes effect when proposed.
+    fn is_reachable(&self, id: ReplicaId) -> bool {
         let heartbeat = self.config.heartbeat_interval;
         self.acknowledged_at(id)
             .is_some_and(|at| self.now.since(at) < heartbeat + heartbeat)
     }
 
-    fn is_current(&self, id: ReplicaId, last: u64) -> bool {
-        let held = match self.progress.get(&id) {
+    fn is_nearly_current(&self, id: ReplicaId, last: u64) -> bool {
+        let durable_index = match self.progress.get(&id) {
             Some(progress) => progress.match_index,
             None => self.log.persisted_index(),
         };
-        self.is_in_touch(id) && held + CAUGHT_UP_ENTRIES >= last
+        self.is_reachable(id) && durable_index + CAUGHT_UP_ENTRIES >= last
     }
 }
--- a/components/consensus/src/message.rs
+++ b/components/consensus/src/message.rs
@@ -5,43 +5,43 @@
 
 use crate::entry::{Entry, Membership};
 
-/// A message and its ends.
+/// A message with its sender and receiver.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Envelope {
     /// Sender.
     pub from: ReplicaId,
     /// Receiver.
     pub to: ReplicaId,
-    /// Sender's term; for a pre-vote the term it would start.
+    /// Sender's term; for a pre-vote, the term that the election would start.
     pub term: u64,
     /// Content.
     pub message: Message,
 }
 
-/// What one replica says to another.
+/// The content of a message between replicas.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// Asks for a vote; a pre-vote changes nothing at the receiver.
+    /// Requests a vote; a pre-vote changes no state at the receiver.
     RequestVote {
-        /// Whether this only asks if a vote would be granted.
+        /// Whether this is a pre-vote, which only asks if a vote would be granted.
         pre_vote: bool,
-        /// Whether the old leader asked for the election itself.
+        /// Whether the previous leader started the election by a leadership transfer.
         transfer: bool,
-        /// Candidate's last entry.
+        /// Index of the candidate's last entry.
         last_index: u64,
         /// Term of that entry.
         last_term: u64,
     },
     /// Answer to [`Message::RequestVote`].
     VoteReply {
-        /// Kind of the vote that is answered.
+        /// Copied from the request.
         pre_vote: bool,
         /// Whether it is granted.
         granted: bool,
     },
-    /// New entries, or none as a heartbeat.
+    /// Appends entries; without entries, a heartbeat.
     Append {
-        /// Entry before the first one sent.
+        /// Index of the entry before the first one sent.
         previous_index: u64,
         /// Term of that entry.
         previous_term: u64,
@@ -49,45 +49,46 @@
         entries: Vec<Entry>,
         /// Leader's commit index.
         commit_index: u64,
-        /// Leader's clock when it sent this; the reply returns it.
+        /// Leader's clock when it sent this; copied into the reply.
         sent_at: Millis,
     },
     /// Answer to [`Message::Append`].
     AppendReply {
-        /// Highest entry known to equal the leader's, when accepted.
+        /// If accepted, the highest index known to match the leader's log; otherwise
+        /// the index after which the leader continues.
         match_index: u64,
         /// Whether the entry before the first one sent matched.
         accepted: bool,
-        /// Copied from the message that is answered.
+        /// Copied from the request.
         sent_at: Millis,
     },
     /// A chunk of a snapshot.
     SnapshotChunk {
-        /// Last entry that the snapshot covers.
+        /// Index of the last entry that the snapshot covers.
         index: u64,
         /// Term of that entry.
         snapshot_term: u64,
-        /// The group at that entry.
+        /// Members of the group at that entry.
         membership: Membership,
-        /// Where in the snapshot the chunk begins.
+        /// Byte offset of the chunk in the snapshot.
         offset: u64,
-        /// The chunk.
+        /// Bytes of the chunk.
         #[serde(with = "serde_bytes")]
         data: Vec<u8>,
-        /// Whether it is the last one.
+        /// Whether this is the last chunk.
         done: bool,
         /// Leader's clock when it sent this.
         sent_at: Millis,
     },
     /// Answer to [`Message::SnapshotChunk`].
     SnapshotReply {
-        /// Snapshot that is answered.
+        /// Index of the snapshot.
         index: u64,
-        /// Bytes held so far.
+        /// Count of bytes received so far, which is the offset of the next chunk.
         next_offset: u64,
-        /// Copied from the message that is answered.
+        /// Copied from the request.
         sent_at: Millis,
     },
-    /// The leader asks a caught-up follower to start an election at once.
+    /// Tells a caught-up follower to start an election at once (leadership transfer).
     TimeoutNow,
 }
--- a/components/consensus/src/node.rs
+++ b/components/consensus/src/node.rs
@@ -1,4 +1,4 @@
-//! One replica of the group: state, the entry points and the terms' rules.
+//! One replica of the group: its state and entry points.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -17,48 +17,48 @@
 use crate::progress::Progress;
 use crate::ready::Ready;
 
-/// What a replica is in its term.
+/// Role of a replica in its term.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PeerRole {
     /// Follows a leader, or waits for one.
     Follower,
-    /// Asks whether it would win an election.
+    /// Requests pre-votes, to find out if it could win an election.
     PreCandidate,
-    /// Asks for votes.
+    /// Requests votes.
     Candidate,
-    /// Orders the log.
+    /// Leads the group: appends entries and replicates them.
     Leader,
 }
 
-/// What a replica finds on its disk when it starts.
+/// Durable state of a replica, read from disk when it starts.
 #[derive(Debug, Clone, Default)]
 pub struct Restored {
     /// Term and vote.
     pub hard_state: HardState,
-    /// Latest snapshot, if any was taken.
+    /// Latest snapshot, if there is one.
     pub snapshot: Option<Snapshot>,
     /// Entries after the snapshot.
     pub entries: Vec<Entry>,
-    /// Highest index that the former life knew to be committed; 0 where that
-    /// is not known. What is committed stays so, and is applied at once.
+    /// Highest index known to be committed before the restart; 0 if unknown.
+    /// Committed entries stay committed, so they are applied at once.
     pub commit_index: u64,
-    /// The group before any membership entry: given at the very first start
-    /// of a group, empty for a replica that joins later.
+    /// The members before the first membership entry: set when a new group is
+    /// started, empty for a replica that joins later.
     pub initial_membership: Membership,
 }
 
-/// A view of a node for status pages and decisions of the driver.
+/// The state of a node, for status pages and for the driver.
 #[derive(Debug, Clone)]
 pub struct Status {
-    /// Role in the term.
+    /// Role in the current term.
     pub role: PeerRole,
-    /// The term.
+    /// The current term.
     pub term: u64,
-    /// The leader, as far as known.
+    /// The leader, if known.
     pub leader: Option<ReplicaId>,
     /// Highest committed index.
     pub commit_index: u64,
-    /// Highest index handed out for applying.
+    /// Highest index returned to the driver for applying.
     pub applied_index: u64,
     /// Highest index in the log.
     pub last_index: u64,
@@ -82,26 +82,27 @@
     pub(crate) commit_index: u64,
     pub(crate) applied_index: u64,
     pub(crate) leader: Option<ReplicaId>,
-    /// Before this point no vote is granted: a leader may hold a lease.
+    /// No vote is granted before this time, as a leader may hold a lease.
     pub(crate) no_vote_before: Millis,
     pub(crate) election_due: Millis,
     pub(crate) votes: BTreeSet<ReplicaId>,
-    /// When votes were asked for last, and whether for a handed-over office.
-    pub(crate) asked_at: Millis,
-    pub(crate) asked_by_transfer: bool,
+    /// When votes were last requested.
+    pub(crate) votes_requested_at: Millis,
+    /// Whether the campaign was started by a leadership transfer.
+    pub(crate) campaign_is_transfer: bool,
     pub(crate) progress: BTreeMap<ReplicaId, Progress>,
     pub(crate) leader_since: Millis,
     pub(crate) transfer_to: Option<ReplicaId>,
     pub(crate) transfer_due: Millis,
-    /// Whether it never leads: its state machine does not follow the log.
-    pub(crate) stands_aside: bool,
+    /// Whether it never becomes leader, as its state machine can't apply the log.
+    pub(crate) candidacy_disabled: bool,
     pub(crate) messages: Vec<Envelope>,
     pub(crate) now: Millis,
     random: Pcg64Mcg,
 }
 
 impl Node {
-    /// Starts a replica from what its disk holds.
+    /// Creates a replica from its durable state.
     pub fn new(config: Config, restored: Restored, now: Millis) -> Self {
         let (snapshot_index, snapshot_term) = restored
             .snapshot
@@ -125,25 +126,25 @@
             commit_index: commit_index.max(snapshot_index),
             applied_index: snapshot_index,
             leader: None,
-            // The former life may have answered a heartbeat just before it
-            // ended, so the lease that rests on that answer is waited out.
+            // The replica may have acknowledged a heartbeat just before it
+            // stopped; the lease based on that acknowledgement must expire first.
             no_vote_before: now + config.lease_with_drift(),
             election_due: Millis::ZERO,
             votes: BTreeSet::new(),
-            asked_at: Millis::ZERO,
-            asked_by_transfer: false,
+            votes_requested_at: Millis::ZERO,
+            campaign_is_transfer: false,
             progress: BTreeMap::new(),
             leader_since: Millis::ZERO,
             transfer_to: None,
             transfer_due: Millis::ZERO,
-            stands_aside: false,
+            candidacy_disabled: false,
             messages: Vec::new(),
             now,
             random,
             config,
         };
         node.refresh_membership();
-        node.set_first_election();
+        node.set_first_election_timer();
         node
     }
 
@@ -152,33 +153,33 @@
         self.config.id
     }
 
-    /// Whether this replica leads its term. It may have been deposed without
-    /// knowing: see [`Node::holds_lease`].
+    /// Whether this replica is the leader of its term. Another replica may
+    /// already lead a later term: see [`Node::holds_lease`].
     pub fn is_leader(&self) -> bool {
         self.role == PeerRole::Leader
     }
 
-    /// Last index that the newest snapshot covers.
+    /// Last index that the latest snapshot covers.
     pub fn snapshot_index(&self) -> u64 {
         self.log.snapshot_index()
     }
 
-    /// The group as this replica knows it.
+    /// The members of the group according to this replica's log.
     pub fn membership(&self) -> &Membership {
         &self.membership
     }
 
-    /// Log index from which [`Node::membership`] stands.
+    /// Log index of the entry that set [`Node::membership`].
     pub fn membership_index(&self) -> u64 {
         self.membership_index
     }
 
-    /// What the leader knows of its followers; empty on others.
+    /// The leader's progress records of its followers; empty on other replicas.
     pub fn followers(&self) -> &BTreeMap<ReplicaId, Progress> {
         &self.progress
     }
 
-    /// The present view of the node.
+    /// The current state of the node.
     pub fn status(&self) -> Status {
         Status {
             role: self.role,
@@ -190,12 +191,14 @@
         }
     }
 
-    /// Until when no other leader can exist, by this leader's clock.
+    /// The end of the lease by this leader's clock: no other leader can exist
+    /// before it.
     ///
-    /// A majority answered heartbeats sent at or after `lease - duration`, and
-    /// none of that majority grants a vote within the election timeout of
-    /// receiving one. `None` when this replica does not lead, is handing its
-    /// office over, or has not committed an entry of its term.
+    /// A majority acknowledged messages sent at or after this time minus the
+    /// lease duration, and no replica of that majority grants a vote within the
+    /// election timeout after it received one. `None` if this replica does not
+    /// lead, is transferring leadership, or has not committed an entry of its
+    /// term.
     pub fn lease_until(&self) -> Option<Millis> {
         let usable = self.is_leader() && self.transfer_to.is_none() && self.term_is_committed();
         if !usable {
@@ -211,37 +214,40 @@
         Some(oldest_of_quorum + self.config.lease_duration)
     }
 
-    /// Whether this replica surely is the only leader at `now`.
+    /// Whether this replica is guaranteed to be the only leader at `now`.
     pub fn holds_lease(&self, now: Millis) -> bool {
         self.lease_until().is_some_and(|until| now < until)
     }
 
-    /// Whether an entry of this replica's term is applied: the state machine
-    /// then holds everything that was committed before the term.
+    /// Whether an entry of this replica's term is applied, which means that the
+    /// state machine reflects every entry committed before the term.
     pub fn has_applied_own_term(&self) -> bool {
         self.log.term_at(self.applied_index) == Some(self.hard_state.term)
     }
 
-    /// Whether every entry of the log is known to be committed, and applied.
-    pub fn is_wholly_committed(&self) -> bool {
+    /// Whether every entry of the log is known to be committed and was returned
+    /// for applying.
+    pub fn has_applied_whole_log(&self) -> bool {
         self.applied_index == self.log.last_index()
     }
 
-    /// How long a member has not been heard of, as this leader knows it. A
-    /// leader counts from when it began to lead, or admitted the member.
+    /// Time since this leader sent the latest message that the member
+    /// acknowledged. Counted from the start of leadership, or from when the
+    /// member was added, if that is later.
     pub fn silent_for(&self, id: ReplicaId) -> Millis {
-        let heard = self.acknowledged_at(id).unwrap_or(Millis::ZERO);
+        let acknowledged_at = self.acknowledged_at(id).unwrap_or(Millis::ZERO);
         let tracked = self.progress.get(&id).map_or(Millis::ZERO, |p| p.since);
-        self.now.since(heard.max(tracked).max(self.leader_since))
+        self.now
+            .since(acknowledged_at.max(tracked).max(self.leader_since))
     }
 
-    /// Whether a member holds nearly all of the log, as this leader knows it.
+    /// Whether a member is known to hold all of the log but the last few entries.
     pub fn is_caught_up(&self, id: ReplicaId) -> bool {
-        let held = self.progress.get(&id).map_or(0, |p| p.match_index);
-        held > 0 && held + CAUGHT_UP_ENTRIES >= self.log.last_index()
+        let match_index = self.progress.get(&id).map_or(0, |p| p.match_index);
+        match_index > 0 && match_index + CAUGHT_UP_ENTRIES >= self.log.last_index()
     }
 
-    /// The commands of the log that are not handed out for applying yet.
+    /// The commands in the log that were not yet returned for applying.
     pub fn unapplied_commands(&self) -> impl Iterator<Item = &[u8]> {
         let entries = self.log.slice(self.applied_index + 1, usize::MAX >> 1);
         entries.iter().filter_map(|entry| match &entry.payload {
@@ -250,16 +256,17 @@
         })
     }
 
-    /// From now on this replica never leads: its state machine can't follow the log. It
-    /// goes on to store the log and to vote, so that the group keeps its majority.
-    pub fn stand_aside(&mut self) {
-        self.stands_aside = true;
+    /// Prevents this replica from leading from now on, as its state machine can't
+    /// apply the log. It still stores the log and votes, so that the group keeps
+    /// its majority.
+    pub fn disable_candidacy(&mut self) {
+        self.candidacy_disabled = true;
         if self.role != PeerRole::Follower {
             self.become_follower(self.hard_state.term, None);
         }
     }
 
-    /// Takes the time. Call it at least once in a heartbeat interval.
+    /// Advances the clock. Must be called at least once per heartbeat interval.
     pub fn tick(&mut self, now: Millis) {
         self.now = self.now.max(now);
         match self.role {
@@ -268,16 +275,17 @@
         }
     }
 
-    /// Appends a command; it is committed when it shows up in a [`Ready`].
+    /// Appends a command and returns its index. It is committed when it appears in
+    /// [`Ready::committed`].
     ///
     /// # Errors
-    /// When this replica does not lead or is handing its office over.
+    /// When this replica does not lead or is transferring leadership.
     pub fn propose(&mut self, command: Vec<u8>) -> Result<u64, ProposeError> {
         self.check_may_propose()?;
         Ok(self.append(EntryPayload::Command(command)))
     }
 
-    /// Takes a message from a peer.
+    /// Handles a message from a peer.
     pub fn step(&mut self, envelope: Envelope, now: Millis) {
         self.now = self.now.max(now);
         if envelope.to != self.config.id {
@@ -308,8 +316,8 @@
         }
     }
 
-    /// Takes the work that has gathered. Call [`Node::advance`] when its
-    /// durable part is synced, before the next call of this function.
+    /// Returns the pending work. Call [`Node::advance`] once its durable part is
+    /// synced, before the next call of this function.
     pub fn ready(&mut self) -> Ready {
         let hard_state = self.hard_state_changed.then_some(self.hard_state);
         self.hard_state_changed = false;
@@ -322,7 +330,7 @@
         }
     }
 
-    /// Notes that the durable part of `ready` is synced.
+    /// Reports that the durable part of `ready` is synced.
     pub fn advance(&mut self, ready: &Ready) {
         let Some(last) = ready.entries.last() else {
             return;
@@ -333,10 +341,10 @@
         }
     }
 
-    /// Takes the state machine's `data` at `index` as the newest snapshot and
-    /// drops the log before it from memory. The driver makes the returned
-    /// snapshot durable before it drops any log from disk. `None` when `index`
-    /// is not applied yet or is covered already.
+    /// Makes the state machine's `data` at `index` the latest snapshot and drops
+    /// the log up to it from memory. The driver must make the returned snapshot
+    /// durable before it deletes any log from disk. `None` if `index` is not yet
+    /// applied or a snapshot already covers it.
     pub fn compact(&mut self, index: u64, data: Vec<u8>) -> Option<Snapshot> {
         if index > self.applied_index || index <= self.log.snapshot_index() {
             return None;
@@ -354,7 +362,7 @@
         Some(snapshot)
     }
 
-    /// Whether there is work for the driver.
+    /// Whether [`Node::ready`] would return any work.
     pub fn has_ready(&self) -> bool {
         self.hard_state_changed
             || self.pending_snapshot.is_some()
@@ -405,9 +413,9 @@
         });
     }
 
-    /// A replica that has just started has heard nobody: it need not wait a
-    /// whole election timeout, but only until votes are free again.
-    fn set_first_election(&mut self) {
+    /// A replica that has just started has received nothing from a leader, so it
+    /// waits only until it may grant votes, not for a whole election timeout.
+    fn set_first_election_timer(&mut self) {
         let spread = self.config.election_timeout.0 / 2;
         let jitter = Millis(self.random.random_range(0..spread.max(1)));
         self.election_due = self.no_vote_before + jitter;
@@ -419,7 +427,7 @@
         self.election_due = self.now + base + jitter;
     }
 
-    /// The membership in force is the newest in the log, committed or not.
+    /// Sets the membership to the latest one in the log, committed or not.
     pub(crate) fn refresh_membership(&mut self) {
         let (index, membership) = match self.log.latest_membership() {
             Some((index, membership)) => (index, membership.clone()),
--- a/components/consensus/src/progress.rs
+++ b/components/consensus/src/progress.rs
@@ -1,33 +1,33 @@
-//! What a leader knows of one follower.
+//! A leader's record of one follower.
 
 use garnet_types::Millis;
 
-/// A follower as its leader sees it.
+/// Replication progress of one follower.
 #[derive(Debug, Clone, Default)]
 pub struct Progress {
-    /// Highest entry known to be durable there.
+    /// Highest index known to be durable on the follower.
     pub match_index: u64,
-    /// Next entry to send.
+    /// Index of the next entry to send.
     pub next_index: u64,
-    /// Messages with entries under way.
+    /// Count of messages with entries in flight.
     pub inflight: usize,
-    /// Leader's clock when it sent the latest message that was answered.
+    /// Leader's clock when it sent the latest message that the follower acknowledged.
     pub acknowledged_at: Option<Millis>,
-    /// Byte of the snapshot to send next, while one is under way.
+    /// Offset of the next snapshot byte to send, while a snapshot is in flight.
     pub snapshot_offset: Option<u64>,
-    /// When the leader began to track it.
+    /// When the leader began to track the follower.
     pub since: Millis,
-    /// When something was last sent, for heartbeats.
+    /// When a message was last sent, for heartbeats.
     pub last_sent: Millis,
     /// When entries were last sent.
     pub entries_sent_at: Millis,
-    /// When the leader last began anew from what is known to match: refusals of
-    /// what was sent before tell nothing new.
-    pub began_anew_at: Millis,
+    /// When the leader last went back to the entries known to match. Rejections of
+    /// messages sent before that are ignored.
+    pub rewound_at: Millis,
 }
 
 impl Progress {
-    /// A follower of which nothing is known yet.
+    /// The record of a follower whose log is not known yet.
     pub fn new(next_index: u64, now: Millis) -> Self {
         Progress {
             next_index,
@@ -36,19 +36,19 @@
         }
     }
 
-    /// Whether the entries under way are lost: the follower has answered
-    /// something that was sent after them, or nothing for `silence`. Messages to
-    /// one follower arrive in their order.
+    /// Whether the entries in flight are lost: the follower acknowledged a message
+    /// that was sent after them, or nothing for `silence`. Messages to one
+    /// follower arrive in order.
     pub fn has_lost_entries(&self, silence: Millis, now: Millis) -> bool {
-        let under_way = self.next_index > self.match_index + 1;
+        let has_unacknowledged = self.next_index > self.match_index + 1;
         let overtaken = self.acknowledged_at > Some(self.entries_sent_at);
-        under_way && (overtaken || now.since(self.entries_sent_at) >= silence)
+        has_unacknowledged && (overtaken || now.since(self.entries_sent_at) >= silence)
     }
 
-    /// Begins anew from an entry, with nothing under way.
-    pub fn begin_anew(&mut self, next_index: u64, now: Millis) {
+    /// Continues from `next_index`, with nothing in flight.
+    pub fn rewind_to(&mut self, next_index: u64, now: Millis) {
         self.next_index = next_index;
         self.inflight = 0;
-        self.began_anew_at = now;
+        self.rewound_at = now;
     }
 }
--- a/components/consensus/src/ready.rs
+++ b/components/consensus/src/ready.rs
@@ -1,4 +1,4 @@
-//! The work a node hands to its driver.
+//! The work that a node returns to its driver.
 
 use crate::entry::{Entry, HardState, Snapshot};
 use crate::message::Envelope;
@@ -6,18 +6,18 @@
 /// One batch of work, in the order in which it must be done.
 #[derive(Debug, Default)]
 pub struct Ready {
-    /// To be made durable first.
+    /// Term and vote to make durable first.
     pub hard_state: Option<HardState>,
-    /// To be made durable and then restored into the state machine; the log
-    /// before it is void.
+    /// Snapshot to make durable and then load into the state machine. It
+    /// replaces the whole log.
     pub snapshot: Option<Snapshot>,
-    /// To be made durable; they replace any entry at or after the first one.
+    /// Entries to make durable; they replace all entries from the first index on.
     pub entries: Vec<Entry>,
-    /// To be sent once the above is synced.
+    /// Messages to send once the above is synced.
     pub messages: Vec<Envelope>,
-    /// To be applied, in order, once the above is synced. That they are
-    /// committed is made durable too: a replica that starts again applies them
-    /// before it hears anybody.
+    /// Entries to apply, in order, once the above is synced. The commit index is
+    /// made durable as well, so that a restarted replica applies them before it
+    /// receives any message.
     pub committed: Vec<Entry>,
 }
 
@@ -27,14 +27,14 @@
         !self.needs_sync() && self.messages.is_empty()
     }
 
-    /// Whether anything has to be synced before the messages may go.
+    /// Whether anything must be synced before the messages are sent.
     pub fn needs_sync(&self) -> bool {
         let log_changes =
             self.hard_state.is_some() || self.snapshot.is_some() || !self.entries.is_empty();
         log_changes || !self.committed.is_empty()
     }
 
-    /// Highest index that is handed out for applying.
+    /// Highest index among the committed entries.
     pub fn commit_index(&self) -> Option<u64> {
         self.committed.last().map(|entry| entry.index)
     }
--- a/components/consensus/src/replication.rs
+++ b/components/consensus/src/replication.rs
@@ -1,4 +1,4 @@
-//! Heartbeats, log replication, commitment and snapshots in chunks.
+//! Heartbeats, log replication, commitment and snapshot transfer.
 
 use std::sync::Arc;
 
@@ -13,7 +13,7 @@
         if self.transfer_to.is_some() && self.now >= self.transfer_due {
             self.transfer_to = None;
         }
-        if !self.quorum_is_in_touch() {
+        if !self.quorum_is_reachable() {
             self.become_follower(self.hard_state.term, None);
             return;
         }
@@ -30,12 +30,12 @@
         }
     }
 
-    /// Check-quorum: a leader that lost touch steps down by itself.
-    fn quorum_is_in_touch(&self) -> bool {
+    /// Check-quorum: a leader steps down when it can't reach a majority.
+    fn quorum_is_reachable(&self) -> bool {
         let timeout = self.config.election_timeout;
         let fresh = |id| {
-            let heard = self.acknowledged_at(id).unwrap_or(self.leader_since);
-            self.now.since(heard.max(self.leader_since)) < timeout + timeout
+            let acknowledged_at = self.acknowledged_at(id).unwrap_or(self.leader_since);
+            self.now.since(acknowledged_at.max(self.leader_since)) < timeout + timeout
         };
         self.membership.has_quorum(fresh)
     }
@@ -47,8 +47,8 @@
         }
     }
 
-    /// A heartbeat also repairs: entries that are lost are sent again. While
-    /// others are under way it brings none.
+    /// Sends a heartbeat. It carries entries, including lost ones, unless other
+    /// messages with entries are in flight.
     fn send_heartbeat(&mut self, to: ReplicaId) {
         let silence = self.config.election_timeout;
         let Some(progress) = self.progress.get_mut(&to) else {
@@ -59,7 +59,7 @@
                 0 => progress.next_index,
                 matched => matched + 1,
             };
-            progress.begin_anew(next_index, self.now);
+            progress.rewind_to(next_index, self.now);
         }
         if progress.inflight == 0 {
             self.send_append(to, true);
@@ -134,14 +134,14 @@
         }
     }
 
-    fn send_snapshot_chunk(&mut self, to: ReplicaId, again: bool) {
+    fn send_snapshot_chunk(&mut self, to: ReplicaId, resend: bool) {
         let Some(snapshot) = self.snapshot.clone() else {
             return;
         };
         let Some(progress) = self.progress.get_mut(&to) else {
             return;
         };
-        if progress.snapshot_offset.is_some() && !again {
+        if progress.snapshot_offset.is_some() && !resend {
             return;
         }
         let offset = progress.snapshot_offset.unwrap_or(0);
@@ -161,7 +161,7 @@
         self.send(to, message);
     }
 
-    fn note_leader(&mut self, leader: ReplicaId) {
+    fn on_leader_contact(&mut self, leader: ReplicaId) {
         if self.leader != Some(leader) {
             self.become_follower(self.hard_state.term, Some(leader));
         }
@@ -180,26 +180,26 @@
         else {
             return;
         };
-        self.note_leader(envelope.from);
-        let known = previous_index < self.log.snapshot_index()
+        self.on_leader_contact(envelope.from);
+        let previous_matches = previous_index < self.log.snapshot_index()
             || self.log.term_at(previous_index) == Some(previous_term);
-        let match_index = if known {
+        let match_index = if previous_matches {
             self.accept_entries(previous_index, entries, commit_index)
         } else {
-            self.surely_matching(previous_index)
+            self.resume_index(previous_index)
         };
         let reply = Message::AppendReply {
             match_index,
-            accepted: known,
+            accepted: previous_matches,
             sent_at,
         };
         self.send(envelope.from, reply);
     }
 
-    /// Where the leader goes on after an entry that does not match: behind the
-    /// last one where that is all that is missing, else behind what is
-    /// committed, which equals every leader's log.
-    fn surely_matching(&self, previous_index: u64) -> u64 {
+    /// The index after which the leader continues when the previous entry does
+    /// not match: the last index if this log is too short, otherwise the commit
+    /// index, up to which the log matches every leader's.
+    fn resume_index(&self, previous_index: u64) -> u64 {
         let last = self.log.last_index();
         if last < previous_index {
             last
@@ -213,7 +213,7 @@
         for entry in entries {
             self.accept_entry(entry);
         }
-        // Only what is known to equal the leader's log may be committed.
+        // Only entries known to match the leader's log may be committed.
         self.commit_index = self.commit_index.max(commit.min(match_index));
         match_index
     }
@@ -259,13 +259,13 @@
             progress.match_index = progress.match_index.max(match_index.min(last_index));
             progress.next_index = progress.next_index.max(progress.match_index + 1);
         } else {
-            // A follower's durable entries never go back within its identity,
-            // so what it acknowledged earlier is the floor.
-            if sent_at < progress.began_anew_at {
+            // A follower never loses durable entries under the same identity, so
+            // `match_index` never decreases.
+            if sent_at < progress.rewound_at {
                 return;
             }
             let next_index = (match_index + 1).max(progress.match_index + 1);
-            progress.begin_anew(next_index, self.now);
+            progress.rewind_to(next_index, self.now);
         }
         let behind = progress.next_index <= last_index;
         self.advance_commit();
@@ -274,7 +274,7 @@
         }
     }
 
-    /// Commits what a majority holds durably, if it is of the own term.
+    /// Commits entries that are durable on a majority, if they are of the current term.
     pub(crate) fn advance_commit(&mut self) {
         let mut held: Vec<u64> = self
             .membership
@@ -295,7 +295,7 @@
     fn after_commit(&mut self) {
         self.step_down_if_removed();
         if self.is_leader() {
-            // Followers learn the commit index without waiting a heartbeat.
+            // Sends the commit index at once instead of with the next heartbeat.
             let followers: Vec<ReplicaId> = self.progress.keys().copied().collect();
             for id in followers {
                 self.send_append(id, true);
@@ -325,14 +325,14 @@
         else {
             return;
         };
-        self.note_leader(envelope.from);
+        self.on_leader_contact(envelope.from);
         if self.log.term_at(index) == Some(snapshot_term) {
-            // Equal terms at an index mean equal logs up to it. The entries that follow
-            // may be acknowledged and must stay.
+            // Equal terms at an index mean equal logs up to it. Later entries may
+            // have been acknowledged and must be kept.
             self.commit_index = self.commit_index.max(index);
         }
         if index <= self.commit_index {
-            // Everything in the snapshot is here already.
+            // The log already holds everything that the snapshot covers.
             let reply = Message::AppendReply {
                 match_index: self.commit_index,
                 accepted: true,
--- a/components/consensus/src/terms.rs
+++ b/components/consensus/src/terms.rs
@@ -1,5 +1,5 @@
-//! The rules about terms: a higher one is taken over, a lower one is told the
-//! present one, and a voter that heard a leader lately stays loyal.
+//! Rules about terms: a replica adopts a higher term, replies to a lower one
+//! with its own, and ignores elections shortly after contact with a leader.
 
 use garnet_types::ReplicaId;
 
@@ -8,7 +8,7 @@
 use crate::node::{Node, PeerRole};
 
 impl Node {
-    /// Applies the rules about terms. Returns whether to go on.
+    /// Applies the rules about terms. Returns whether the message is handled further.
     pub(crate) fn accept_term(&mut self, envelope: &Envelope) -> bool {
         let own = self.hard_state.term;
         if envelope.term > own {
@@ -26,10 +26,11 @@
             Message::RequestVote {
                 pre_vote, transfer, ..
             } => {
-                // A voter that heard a leader lately stays loyal: this keeps
-                // the lease sound and ignores replicas that were cut off.
-                let loyal = self.now < self.no_vote_before || self.is_leader();
-                if loyal && !transfer {
+                // Ignoring elections shortly after contact with a leader keeps
+                // its lease valid, and keeps a replica that was partitioned
+                // from disturbing the leader.
+                let may_have_leader = self.now < self.no_vote_before || self.is_leader();
+                if may_have_leader && !transfer {
                     return false;
                 }
                 if !pre_vote {
@@ -54,7 +55,8 @@
 
     fn answer_lower_term(&mut self, envelope: &Envelope) {
         let message = match envelope.message {
-            // Tells a deposed leader, or a candidate behind, the present term.
+            // The reply carries the current term to a deposed leader or an
+            // outdated candidate.
             Message::Append { sent_at, .. } | Message::SnapshotChunk { sent_at, .. } => {
                 Message::AppendReply {
                     match_index: 0,
--- a/components/consensus/tests/group.rs
+++ b/components/consensus/tests/group.rs
@@ -1,4 +1,4 @@
-//! A group of nodes with a network under the test's control.
+//! Elections, replication and membership changes of a group on a simulated network.
 
 mod network;
 
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn a_cut_off_leader_commits_nothing_and_its_entries_are_replaced() {
+fn an_isolated_leader_commits_nothing_and_its_entries_are_replaced() {
     let mut network = Network::new(3);
     let old = network.elect();
     network.isolate(old);
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn a_replica_that_was_cut_off_does_not_disturb_the_leader() {
+fn a_reconnected_replica_does_not_disturb_the_leader() {
     let mut network = Network::new(3);
     let leader = network.elect();
     let term = network.node(leader).status().term;
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn a_lagging_replica_is_caught_up_by_a_snapshot_in_pieces() {
+fn a_lagging_replica_catches_up_by_a_snapshot_in_chunks() {
     let mut network = Network::new(3);
     let leader = network.elect();
     let behind = network
@@ -109,12 +109,12 @@
     assert_eq!(network.commands(behind).len(), 200);
     assert!(
         network.node(behind).snapshot_index() > 0,
-        "it came by a snapshot"
+        "it received a snapshot"
     );
 }
 
 #[test]
-fn leadership_is_handed_over_without_waiting_for_a_timeout() {
+fn leadership_is_transferred_without_waiting_for_a_timeout() {
     let mut network = Network::new(3);
     let old = network.elect();
     network.run(Millis(500));
@@ -122,10 +122,10 @@
     let target = network
         .node_mut(old)
         .transfer_leadership()
-        .expect("a follower is current");
+        .expect("a follower is caught up");
     assert!(
         !network.node(old).holds_lease(now),
-        "the lease is given up at once"
+        "the lease ends at once"
     );
     network.run(Millis(200));
     assert!(network.node(target).is_leader());
@@ -169,8 +169,8 @@
     assert!(network.node_mut(leader).remove_member(others[0]).is_ok());
 }
 
-/// A replica that died a moment ago must not count as reachable: a removal
-/// that then needs it could never be committed.
+/// A replica that has just failed must not count as reachable: a removal that
+/// needs it could never be committed.
 #[test]
 fn a_removal_right_after_a_loss_is_refused() {
     let mut network = Network::new(3);
@@ -184,7 +184,7 @@
 }
 
 #[test]
-fn a_quorum_is_confirmed_only_by_answers_to_what_was_sent_since() {
+fn a_quorum_is_confirmed_only_by_replies_to_messages_sent_since() {
     let mut network = Network::new(3);
     let leader = network.elect();
     network.run(Millis(500));
@@ -194,15 +194,21 @@
     let confirms = |network: &Network, id| network.node(leader).confirms_quorum_without(id, since);
     assert!(!confirms(&network, others[0]), "nothing was sent since");
     network.run(Millis(400));
-    assert!(confirms(&network, others[0]), "the lost one can go");
-    assert!(!confirms(&network, others[1]), "the live one can't");
+    assert!(
+        confirms(&network, others[0]),
+        "the lost replica can be removed"
+    );
+    assert!(
+        !confirms(&network, others[1]),
+        "the live replica can't be removed"
+    );
 }
 
 #[test]
-fn a_replica_with_a_new_disk_can_not_vote_as_its_former_self() {
-    // Five entries are committed by replicas 1 and 2 of three while 3 is cut
-    // off. 2 loses its disk. With its old identity, 2 and 3 could elect 3 and
-    // lose what was committed.
+fn a_replica_with_a_new_disk_can_not_vote_under_its_old_identity() {
+    // The leader and a follower commit an entry while the other follower is
+    // isolated. Then the first follower loses its disk. With its old identity it
+    // could elect the other follower, and the committed entry would be lost.
     let mut network = Network::new(3);
     let leader = network.elect();
     let others = network.others(leader);
@@ -215,7 +221,7 @@
     network.run(Millis(30_000));
     assert!(
         network.leader_among(|id| id != leader).is_none(),
-        "a stranger's vote made a leader without the committed entry"
+        "the vote of an unknown replica elected a leader without the committed entry"
     );
 }
 
@@ -228,16 +234,16 @@
     assert!(log.iter().any(|entry| entry.payload == EntryPayload::Noop));
 }
 
-/// A former leader comes back with entries that nobody committed, while much
-/// was committed without it. Whatever the delay of its link, it is sent little
-/// more than what it lacks.
+/// A previous leader reconnects with uncommitted entries, after many entries
+/// were committed without it. Whatever the delay of its link, it is sent little
+/// more than the missing entries.
 #[rstest]
 #[case::near(5)]
 #[case::far(60)]
 #[case::slower_than_a_heartbeat(400)]
-fn what_a_follower_lacks_is_sent_about_once(#[case] delay_ms: u64) {
+fn missing_entries_are_sent_about_once(#[case] delay_ms: u64) {
     const COMMAND: [u8; 200] = [7; 200];
-    const LACKS: usize = 300;
+    const MISSING: usize = 300;
     let mut network = Network::new(3);
     let old = network.elect();
     network.isolate(old);
@@ -246,7 +252,7 @@
     }
     network.run(Millis(5000));
     let new = network.leader_among(|id| id != old).expect("a new leader");
-    for _ in 0..LACKS {
+    for _ in 0..MISSING {
         network.propose(new, &COMMAND);
     }
     network.run(Millis(500));
@@ -254,16 +260,19 @@
     let before = network.entry_bytes_sent_to(old);
     network.heal();
     network.run(Millis(8000));
-    assert_eq!(network.commands(old).len(), LACKS, "it has caught up");
+    assert_eq!(network.commands(old).len(), MISSING, "it has caught up");
     let sent = network.entry_bytes_sent_to(old) - before;
-    let lacked = LACKS * COMMAND.len();
-    assert!(sent <= 2 * lacked, "{sent} bytes for {lacked}");
+    let missing_bytes = MISSING * COMMAND.len();
+    assert!(
+        sent <= 2 * missing_bytes,
+        "{sent} bytes for {missing_bytes}"
+    );
 }
 
-/// Entries under way to a follower that answers late are not sent again with
-/// each heartbeat.
+/// Entries in flight to a follower that replies late are not resent with each
+/// heartbeat.
 #[test]
-fn entries_under_way_are_not_repeated_while_they_may_arrive() {
+fn entries_in_flight_are_not_resent_while_they_may_arrive() {
     let mut network = Network::new(3);
     let leader = network.elect();
     let far = network.others(leader)[0];
@@ -280,9 +289,9 @@
     assert!(sent <= 2 * 100 * 200, "{sent} bytes for {}", 100 * 200);
 }
 
-/// A message is no larger than its bound, however many entries are due.
+/// A message does not exceed its size limit, however many entries are pending.
 #[test]
-fn large_entries_go_one_by_one() {
+fn large_entries_are_sent_one_by_one() {
     let mut network = Network::new(3);
     let leader = network.elect();
     let other = network.others(leader)[0];
--- a/components/consensus/tests/network/mod.rs
+++ b/components/consensus/tests/network/mod.rs
@@ -1,4 +1,4 @@
-//! Nodes, their disks and the network between them, in virtual time.
+//! A simulated network of nodes in virtual time.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -13,11 +13,11 @@
     nodes: BTreeMap<ReplicaId, Node>,
     applied: BTreeMap<ReplicaId, Vec<Entry>>,
     isolated: BTreeSet<ReplicaId>,
-    /// Messages on their way, and when they arrive.
+    /// Messages in flight with their arrival times.
     in_flight: Vec<(Millis, Envelope)>,
-    /// How long messages to a replica take; a step where nothing is told.
+    /// Delay of messages to a replica, one step by default.
     delays: BTreeMap<ReplicaId, Millis>,
-    /// Bytes of entries that were sent to each replica.
+    /// Bytes of entries sent to each replica.
     entry_bytes: BTreeMap<ReplicaId, usize>,
     largest_message: usize,
     now: Millis,
@@ -80,7 +80,7 @@
         self.start(new_id, Membership::default());
     }
 
-    /// Every replica but one, in order.
+    /// All replicas but one, in order.
     pub fn others(&self, than: ReplicaId) -> Vec<ReplicaId> {
         let all = self.ids().into_iter();
         all.filter(|id| *id != than).collect()
@@ -159,10 +159,10 @@
         while self.now < end {
             self.now = self.now + STEP;
             let now = self.now;
-            let (arrived, under_way) = std::mem::take(&mut self.in_flight)
+            let (arrived, pending) = std::mem::take(&mut self.in_flight)
                 .into_iter()
                 .partition(|(due, _)| *due <= now);
-            self.in_flight = under_way;
+            self.in_flight = pending;
             let arrived: Vec<(Millis, Envelope)> = arrived;
             for (_, message) in arrived {
                 let cut =
@@ -174,7 +174,7 @@
             for id in self.ids() {
                 let now = self.now;
                 self.node_mut(id).tick(now);
-                self.work(id);
+                self.process_ready(id);
             }
         }
     }
@@ -189,12 +189,12 @@
         self.in_flight.push((self.now + delay, message));
     }
 
-    /// From now on messages to a replica take so long.
+    /// Sets the delay of messages to a replica.
     pub fn delay(&mut self, id: ReplicaId, delay: Millis) {
         self.delays.insert(id, delay);
     }
 
-    /// Bytes of entries that were sent to a replica so far.
+    /// Bytes of entries sent to a replica so far.
     pub fn entry_bytes_sent_to(&self, id: ReplicaId) -> usize {
         self.entry_bytes.get(&id).copied().unwrap_or_default()
     }
@@ -204,7 +204,7 @@
         self.largest_message
     }
 
-    fn work(&mut self, id: ReplicaId) {
+    fn process_ready(&mut self, id: ReplicaId) {
         while self.nodes[&id].has_ready() {
             let node = self.node_mut(id);
             let ready = node.ready();
@@ -230,7 +230,7 @@
     }
 }
 
-/// A state of this test: each command behind its length.
+/// Encodes the state machine of these tests: each command after its length.
 fn serialize(entries: &[Entry]) -> Vec<u8> {
     let mut bytes = Vec::new();
     for entry in entries {
--- a/components/consensus/tests/restart.rs
+++ b/components/consensus/tests/restart.rs
@@ -1,4 +1,4 @@
-//! What a replica that starts again knows before it hears anybody.
+//! State of a restarted replica before it receives any message.
 
 use garnet_consensus::{Config, Entry, EntryPayload, HardState, Node, Restored, Snapshot};
 use garnet_types::{Millis, ReplicaId};
@@ -16,7 +16,7 @@
     Node::new(Config::new(ReplicaId(1), 1), restored, Millis(1000))
 }
 
-/// A log of the entries 1 to 3, with `commit_index` as its disk tells it.
+/// A restarted replica with the entries 1 to 3 and `commit_index` on disk.
 fn with_log(commit_index: u64) -> Node {
     restarted(Restored {
         hard_state: HardState {
@@ -31,10 +31,10 @@
 
 #[rstest]
 #[case::nothing_known(0, &[])]
-#[case::a_part(2, &[1, 2])]
-#[case::the_whole_log(3, &[1, 2, 3])]
+#[case::some(2, &[1, 2])]
+#[case::all(3, &[1, 2, 3])]
 #[case::more_than_the_log_holds(9, &[1, 2, 3])]
-fn entries_that_were_known_to_be_committed_are_applied_at_once(
+fn entries_known_to_be_committed_are_applied_at_once(
     #[case] commit_index: u64,
     #[case] expected: &[u64],
 ) {
@@ -42,12 +42,12 @@
     let ready = node.ready();
     let applied: Vec<u64> = ready.committed.iter().map(|entry| entry.index).collect();
     assert_eq!(applied, expected);
-    let whole = expected.len() == 3;
-    assert_eq!(node.is_wholly_committed(), whole);
+    let is_complete = expected.len() == 3;
+    assert_eq!(node.has_applied_whole_log(), is_complete);
 }
 
 #[test]
-fn a_snapshot_that_is_newer_than_the_note_counts() {
+fn a_snapshot_newer_than_the_stored_commit_index_counts() {
     let snapshot = Snapshot {
         index: 7,
         term: 1,
--- a/components/consensus/tests/snapshots.rs
+++ b/components/consensus/tests/snapshots.rs
@@ -1,4 +1,4 @@
-//! What a snapshot from the leader does to the log of a follower.
+//! Effect of a snapshot from the leader on the log of a follower.
 
 use garnet_consensus::{
     Config, Entry, EntryPayload, Envelope, Member, Membership, Message, Node, Restored,
@@ -35,7 +35,7 @@
     Node::new(Config::new(FOLLOWER, 1), restored, Millis(1000))
 }
 
-/// Delivers a message of the leader and gives the answers.
+/// Delivers a message from the leader and returns the replies.
 fn deliver(node: &mut Node, message: Message) -> Vec<Message> {
     let envelope = Envelope {
         from: LEADER,
@@ -46,11 +46,11 @@
     node.step(envelope, NOW);
     let ready = node.ready();
     node.advance(&ready);
-    let answers = ready.messages.into_iter();
-    answers.map(|envelope| envelope.message).collect()
+    let replies = ready.messages.into_iter();
+    replies.map(|envelope| envelope.message).collect()
 }
 
-/// Entries 1 to `last` of a term, with the entries up to `commit_index` committed.
+/// Appends the entries 1 to `last` of a term, committed up to `commit_index`.
 fn append(last: u64, term: u64, commit_index: u64) -> Message {
     let entry = |index| Entry {
         index,
@@ -78,8 +78,8 @@
     }
 }
 
-fn acknowledged(answers: &[Message]) -> Option<u64> {
-    answers.iter().find_map(|answer| match answer {
+fn acknowledged(replies: &[Message]) -> Option<u64> {
+    replies.iter().find_map(|reply| match reply {
         Message::AppendReply {
             match_index,
             accepted: true,
@@ -89,10 +89,10 @@
     })
 }
 
-/// A snapshot at 301 arrived late at a replica that held 311 entries, with 288 known as
-/// committed, and replaced its log. The leader counted 311 for good, the replica had 301
-/// and refused what came after: nothing was committed any more, and acknowledged entries
-/// were gone from a disk.
+/// Guards against the loss of acknowledged entries: a snapshot at index 301 arrived late at
+/// a replica with 311 entries, 288 of them known to be committed, and replaced its log. The
+/// leader still counted 311 as durable there, and the replica rejected all later entries, so
+/// that nothing more was committed.
 #[test]
 fn a_late_snapshot_drops_no_acknowledged_entry() {
     let mut node = follower();
@@ -100,18 +100,18 @@
         acknowledged(&deliver(&mut node, append(5, TERM, 2))),
         Some(5)
     );
-    let answers = deliver(&mut node, snapshot(3, TERM));
+    let replies = deliver(&mut node, snapshot(3, TERM));
     assert_eq!(node.status().last_index, 5);
     assert_eq!(node.status().commit_index, 3);
-    assert_eq!(acknowledged(&answers), Some(3));
+    assert_eq!(acknowledged(&replies), Some(3));
 }
 
-/// Entries of a deposed leader are replaced as before.
+/// A snapshot replaces the entries of a deposed leader.
 #[test]
 fn a_snapshot_replaces_a_log_that_differs() {
     let mut node = follower();
     deliver(&mut node, append(5, TERM - 1, 0));
-    let answers = deliver(&mut node, snapshot(3, TERM));
+    let replies = deliver(&mut node, snapshot(3, TERM));
     assert_eq!(node.status().last_index, 3);
-    assert_eq!(acknowledged(&answers), Some(3));
+    assert_eq!(acknowledged(&replies), Some(3));
 }
--- a/components/consensus/tests/voting.rs
+++ b/components/consensus/tests/voting.rs
@@ -1,4 +1,4 @@
-//! One vote a term, kept across a restart, and none against a live lease.
+//! Votes: one per term, durable across a restart, and none against a valid lease.
 
 use garnet_consensus::{
     Config, Entry, EntryPayload, Envelope, HardState, Member, Membership, Message, Node, Restored,
@@ -8,7 +8,7 @@
 const VOTER: ReplicaId = ReplicaId(1);
 const FIRST: ReplicaId = ReplicaId(2);
 const SECOND: ReplicaId = ReplicaId(3);
-/// Long after the start: no lease of a former life can stand.
+/// Long enough after the start for any lease from before it to have expired.
 const LATER: Millis = Millis(10_000);
 
 fn membership() -> Membership {
@@ -57,8 +57,8 @@
     }
 }
 
-/// Whether the voter grants the request; what it wants on disk is returned.
-fn ask(node: &mut Node, envelope: Envelope, now: Millis) -> (bool, Option<HardState>) {
+/// Returns whether the voter grants the request, and the hard state to make durable.
+fn request_vote(node: &mut Node, envelope: Envelope, now: Millis) -> (bool, Option<HardState>) {
     node.step(envelope, now);
     let ready = node.ready();
     let granted = ready
@@ -69,40 +69,40 @@
 }
 
 #[test]
-fn a_second_candidate_of_the_term_gets_no_vote() {
+fn a_second_candidate_of_a_term_gets_no_vote() {
     let mut node = voter(HardState::default(), Vec::new());
-    assert!(ask(&mut node, request(FIRST, 5, 0, 0), LATER).0);
-    assert!(!ask(&mut node, request(SECOND, 5, 0, 0), LATER).0);
+    assert!(request_vote(&mut node, request(FIRST, 5, 0, 0), LATER).0);
+    assert!(!request_vote(&mut node, request(SECOND, 5, 0, 0), LATER).0);
     assert!(
-        ask(&mut node, request(FIRST, 5, 0, 0), LATER).0,
-        "the same one again"
+        request_vote(&mut node, request(FIRST, 5, 0, 0), LATER).0,
+        "the same candidate again"
     );
 }
 
 #[test]
-fn a_vote_goes_to_the_disk_with_its_answer_and_binds_after_a_restart() {
+fn a_vote_is_durable_before_its_reply_and_binds_after_a_restart() {
     let mut node = voter(HardState::default(), Vec::new());
-    let (granted, kept) = ask(&mut node, request(FIRST, 5, 0, 0), LATER);
+    let (granted, stored) = request_vote(&mut node, request(FIRST, 5, 0, 0), LATER);
     assert!(granted);
-    let kept = kept.expect("the vote is durable before its answer leaves");
-    assert_eq!(kept.voted_for, Some(FIRST));
-    let mut restarted = voter(kept, Vec::new());
-    assert!(!ask(&mut restarted, request(SECOND, 5, 0, 0), LATER).0);
+    let stored = stored.expect("the vote is made durable before the reply is sent");
+    assert_eq!(stored.voted_for, Some(FIRST));
+    let mut restarted = voter(stored, Vec::new());
+    assert!(!request_vote(&mut restarted, request(SECOND, 5, 0, 0), LATER).0);
 }
 
 #[test]
 fn a_candidate_with_a_shorter_log_gets_no_vote() {
     let mut node = voter(HardState::default(), vec![noop(1, 1), noop(2, 2)]);
-    assert!(!ask(&mut node, request(FIRST, 5, 1, 2), LATER).0);
+    assert!(!request_vote(&mut node, request(FIRST, 5, 1, 2), LATER).0);
     assert!(
-        !ask(&mut node, request(FIRST, 6, 9, 1), LATER).0,
+        !request_vote(&mut node, request(FIRST, 6, 9, 1), LATER).0,
         "an older term"
     );
-    assert!(ask(&mut node, request(FIRST, 7, 2, 2), LATER).0);
+    assert!(request_vote(&mut node, request(FIRST, 7, 2, 2), LATER).0);
 }
 
 #[test]
-fn a_voter_that_heard_a_leader_lately_votes_for_nobody() {
+fn a_voter_refuses_votes_after_contact_with_a_leader() {
     let mut node = voter(HardState::default(), Vec::new());
     let heartbeat = Envelope {
         from: FIRST,
@@ -118,21 +118,21 @@
     };
     node.step(heartbeat, LATER);
     let soon = LATER + Millis(900);
-    assert!(!ask(&mut node, request(SECOND, 5, 0, 0), soon).0);
+    assert!(!request_vote(&mut node, request(SECOND, 5, 0, 0), soon).0);
     let after = LATER + Millis(1000);
-    assert!(ask(&mut node, request(SECOND, 6, 0, 0), after).0);
+    assert!(request_vote(&mut node, request(SECOND, 6, 0, 0), after).0);
 }
 
-/// Its former life may have answered a heartbeat just before it ended.
+/// It may have acknowledged a heartbeat just before it stopped.
 #[test]
-fn a_restarted_voter_waits_a_lease_out() {
+fn a_restarted_voter_waits_until_a_lease_has_expired() {
     let mut node = voter(HardState::default(), Vec::new());
-    assert!(!ask(&mut node, request(FIRST, 5, 0, 0), Millis(1500)).0);
-    assert!(ask(&mut node, request(FIRST, 5, 0, 0), Millis(2000)).0);
+    assert!(!request_vote(&mut node, request(FIRST, 5, 0, 0), Millis(1500)).0);
+    assert!(request_vote(&mut node, request(FIRST, 5, 0, 0), Millis(2000)).0);
 }
 
 #[test]
-fn entries_that_do_not_follow_on_the_own_log_are_not_accepted() {
+fn entries_that_do_not_follow_the_local_log_are_rejected() {
     let mut node = voter(HardState::default(), vec![noop(1, 1), noop(2, 1)]);
     let append = |previous_index, previous_term| Envelope {
         from: FIRST,
@@ -158,8 +158,8 @@
     assert!(accepted(2, 1));
 }
 
-/// To whom the replica sends requests for votes now, and whether for pre-votes.
-fn asked(node: &mut Node, now: Millis) -> Vec<(ReplicaId, bool)> {
+/// The receivers of the replica's vote requests at `now`, and whether they are pre-votes.
+fn vote_requests(node: &mut Node, now: Millis) -> Vec<(ReplicaId, bool)> {
     node.tick(now);
     let asks = |sent: Envelope| match sent.message {
         Message::RequestVote { pre_vote, .. } => Some((sent.to, pre_vote)),
@@ -168,16 +168,22 @@
     node.ready().messages.into_iter().filter_map(asks).collect()
 }
 
-/// A request may be lost, on a connection whose other end is gone for example:
-/// the candidate need not wait for another election.
+/// A request may be lost, for example on a connection whose peer has gone. It is
+/// resent, so that the candidate need not wait for another election.
 #[test]
-fn a_candidate_asks_again_who_has_not_answered() {
+fn a_candidate_resends_unanswered_vote_requests() {
     let mut node = voter(HardState::default(), Vec::new());
     let interval = Config::new(VOTER, 1).heartbeat_interval;
-    assert_eq!(asked(&mut node, LATER), [(FIRST, true), (SECOND, true)]);
-    assert_eq!(asked(&mut node, LATER), [], "not at once");
+    assert_eq!(
+        vote_requests(&mut node, LATER),
+        [(FIRST, true), (SECOND, true)]
+    );
+    assert_eq!(vote_requests(&mut node, LATER), [], "not at once");
     let again = LATER + interval;
-    assert_eq!(asked(&mut node, again), [(FIRST, true), (SECOND, true)]);
+    assert_eq!(
+        vote_requests(&mut node, again),
+        [(FIRST, true), (SECOND, true)]
+    );
     let granted = Envelope {
         from: SECOND,
         to: VOTER,
@@ -188,7 +194,13 @@
         },
     };
     node.step(granted, again);
-    assert_eq!(asked(&mut node, again), [(FIRST, false), (SECOND, false)]);
+    assert_eq!(
+        vote_requests(&mut node, again),
+        [(FIRST, false), (SECOND, false)]
+    );
     let later = again + interval;
-    assert_eq!(asked(&mut node, later), [(FIRST, false), (SECOND, false)]);
+    assert_eq!(
+        vote_requests(&mut node, later),
+        [(FIRST, false), (SECOND, false)]
+    );
 }
--- a/components/control/src/replica/gateway_requests.rs
+++ b/components/control/src/replica/gateway_requests.rs
@@ -156,7 +156,7 @@
         );
         let has_leader = self.node.status().leader.is_some();
         let is_recent = self.now.since(self.leader_known_at) <= LAST_KNOWN_LIFETIME;
-        let is_reliable = self.node.is_wholly_committed() && self.state.configuration.index > 0;
+        let is_reliable = self.node.has_applied_whole_log() && self.state.configuration.index > 0;
         (has_no_configuration && !has_leader && is_recent && is_reliable)
             .then(|| self.recent.full_configuration(&self.state.configuration))
     }
--- a/components/control/src/replica/log.rs
+++ b/components/control/src/replica/log.rs
@@ -93,7 +93,7 @@
         let halted = Halted { index, cause };
         self.effects.push(Effect::Halted(halted.clone()));
         self.halted = Some(halted);
-        self.node.stand_aside();
+        self.node.disable_candidacy();
         self.abandon_pending();
     }
 
