--- a/bin/garnet-control/src/admin.rs
+++ b/bin/garnet-control/src/admin.rs
@@ -395,6 +395,6 @@
             status.orders.len() as u64,
         ),
     ];
-    let text = metrics::joined(&metrics::render(&samples), &admin.metrics.render());
+    let text = metrics::join_pages(&metrics::render(&samples), &admin.metrics.render());
     with_type(200, metrics::CONTENT_TYPE, text.into_bytes())
 }
--- a/bin/garnet-gateway/src/start.rs
+++ b/bin/garnet-gateway/src/start.rs
@@ -6,7 +6,7 @@
 
 use garnet_control::ControlReply;
 use garnet_gateway::{Event, Gateway, GatewaySettings};
-use garnet_runtime::control_link::{self, ControlLinkOwner};
+use garnet_runtime::control_link::{self, ControlLinkHandler};
 use garnet_runtime::server::Limits;
 use garnet_runtime::{HttpServer, Shell};
 use garnet_storage::{DiskDirectory, DiskIdentity, StorageError, load_value, save_value};
@@ -40,12 +40,12 @@
     controls: Vec<String>,
 }
 
-impl ControlLinkOwner for LinkOwner {
+impl ControlLinkHandler for LinkOwner {
     fn replicas(&self) -> Vec<String> {
         self.controls.clone()
     }
 
-    fn heard(&self, reply: ControlReply) {
+    fn on_reply(&self, reply: ControlReply) {
         self.context.handle(Event::Control(reply));
     }
 }
--- a/components/control-shell/src/metrics.rs
+++ b/components/control-shell/src/metrics.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use garnet_control::{Duty, DutyAnswer, DutyCall, EngineRequest, Replica};
-use garnet_runtime::metrics::{gauge_value, registered, text_of};
+use garnet_runtime::metrics::{encode_registry, gauge_value, registered};
 use garnet_types::{EncodingVersion, Millis};
 use prometheus_client::metrics::counter::Counter;
 use prometheus_client::metrics::family::Family;
@@ -208,6 +208,6 @@
 
     /// The text for the metrics address.
     pub fn render(&self) -> String {
-        text_of(&self.registry)
+        encode_registry(&self.registry)
     }
 }
--- a/components/control-shell/src/peer_link.rs
+++ b/components/control-shell/src/peer_link.rs
@@ -11,8 +11,8 @@
 use std::time::{Duration, Instant};
 
 use garnet_runtime::frames::{self, FrameReader, FrameWriter};
-use garnet_runtime::offers::time_to_offer_again;
-use garnet_runtime::{ConnectTime, Offers};
+use garnet_runtime::version_offers::wait_to_reoffer;
+use garnet_runtime::{ConnectTimeout, VersionOffers};
 use garnet_types::EncodingVersion;
 use garnet_wire::{Frame, Sender as FrameSender, WireError};
 use smol::Timer;
@@ -46,10 +46,10 @@
 /// Sends what is queued for a peer, over a new connection where the last one
 /// is over.
 pub(crate) async fn run(peer: Peer, frames: Receiver<Frame>) {
-    let mut connect_time = ConnectTime::default();
-    let mut offers = Offers::default();
+    let mut connect_timeout = ConnectTimeout::default();
+    let mut offers = VersionOffers::default();
     while let Ok(first) = frames.recv().await {
-        if let Some((reader, writer)) = open(&peer, &mut offers, &mut connect_time).await {
+        if let Some((reader, writer)) = open(&peer, &mut offers, &mut connect_timeout).await {
             let version = writer.version();
             let opened_at = Instant::now();
             let end = carry_frames(reader, writer, first, &frames).await;
@@ -67,17 +67,17 @@
 /// Opens a connection in the first version that is not refused at once.
 async fn open(
     peer: &Peer,
-    offers: &mut Offers,
-    connect_time: &mut ConnectTime,
+    offers: &mut VersionOffers,
+    connect_timeout: &mut ConnectTimeout,
 ) -> Option<(FrameReader, FrameWriter)> {
-    for _ in 0..Offers::COUNT {
+    for _ in 0..VersionOffers::COUNT {
         let offered = offers.next();
         if offered < peer.lowest.get() {
             offers.refused();
             continue;
         }
         let hello = peer.hello.clone();
-        match frames::connect(&peer.address, hello, offered, connect_time).await {
+        match frames::connect(&peer.address, hello, offered, connect_timeout).await {
             Ok(opened) => return Some(opened),
             Err(WireError::HelloRefused) => offers.refused(),
             Err(_) => return None,
@@ -110,7 +110,7 @@
         LinkEnd::Closed
     };
     let offer_again = async {
-        time_to_offer_again(version).await;
+        wait_to_reoffer(version).await;
         LinkEnd::OfferAgain
     };
     smol::future::or(smol::future::or(writing, closed), offer_again).await
--- a/components/control-shell/tests/peer_link.rs
+++ b/components/control-shell/tests/peer_link.rs
@@ -4,7 +4,7 @@
 
 use garnet_consensus::{Envelope, Message};
 use garnet_control_shell::{LinkEnd, carry_frames};
-use garnet_runtime::ConnectTime;
+use garnet_runtime::ConnectTimeout;
 use garnet_runtime::frames;
 use garnet_types::{EncodingVersion, ReplicaId};
 use garnet_wire::{Frame, Sender};
@@ -33,7 +33,7 @@
             id: ReplicaId(1),
             address: address.clone(),
         };
-        let mut time = ConnectTime::default();
+        let mut time = ConnectTimeout::default();
         let version = EncodingVersion::CURRENT;
         let connecting = frames::connect(&address, hello, version, &mut time);
         let accepting = async {
--- a/components/forwarding-shell/src/attempt.rs
+++ b/components/forwarding-shell/src/attempt.rs
@@ -263,7 +263,7 @@
     let mut forwarder = gateway.forwarder.borrow_mut();
     forwarder.silent(&job.backend, now);
     if let Some(address) = forwarder.address(&job.backend) {
-        gateway.pool.forget(address);
+        gateway.pool.close_idle(address);
     }
     log::info!(
         request = call.facts.id.as_str(),
--- a/components/forwarding-shell/src/gateway.rs
+++ b/components/forwarding-shell/src/gateway.rs
@@ -6,7 +6,7 @@
 
 use garnet_forwarding::{Forwarder, UsageMeter};
 use garnet_routes::CallerLimits;
-use garnet_runtime::{Clock, ConnectionPool, ConnectionTimes, Shared, Timers};
+use garnet_runtime::{Clock, ConnectionPool, ConnectionTimeouts, Shared, Timers};
 use garnet_types::{Millis, TenantId};
 use smol::LocalExecutor;
 
@@ -41,7 +41,7 @@
     /// Unknown header names in answers of back ends.
     pub(crate) unknown_names: UnknownNames,
     /// Bounds on the time of callers' connections, by the route table in force.
-    pub(crate) connection_times: Shared<ConnectionTimes>,
+    pub(crate) connection_times: Shared<ConnectionTimeouts>,
     /// Since when the route table in force has been so.
     pub(crate) routes_since: Cell<Millis>,
     /// Set by a planned stop, with the end of its grace time: callers are asked
@@ -52,10 +52,10 @@
 }
 
 /// Bounds on the time of a caller's connection.
-pub(crate) fn connection_times(limits: CallerLimits) -> ConnectionTimes {
-    ConnectionTimes {
+pub(crate) fn connection_times(limits: CallerLimits) -> ConnectionTimeouts {
+    ConnectionTimeouts {
         head: Duration::from_millis(limits.head_timeout_ms.0),
-        rest: Duration::from_millis(limits.idle_timeout_ms.0),
+        idle: Duration::from_millis(limits.idle_timeout_ms.0),
     }
 }
 
--- a/components/forwarding-shell/src/metrics.rs
+++ b/components/forwarding-shell/src/metrics.rs
@@ -1,7 +1,7 @@
 //! Counters and latency histograms of a gateway.
 
 use garnet_routes::WorkKind;
-use garnet_runtime::metrics::{gauge_value, registered, text_of};
+use garnet_runtime::metrics::{encode_registry, gauge_value, registered};
 use garnet_types::{EncodingVersion, Millis};
 use prometheus_client::metrics::counter::Counter;
 use prometheus_client::metrics::family::Family;
@@ -174,6 +174,6 @@
         self.watch_age_ms.set(gauge_value(watch_age.0));
         self.routes_version.set(gauge_value(version));
         self.open_requests.set(gauge_value(open as u64));
-        text_of(&self.registry)
+        encode_registry(&self.registry)
     }
 }
--- a/components/forwarding-shell/src/start.rs
+++ b/components/forwarding-shell/src/start.rs
@@ -82,7 +82,7 @@
 {
     let times = Shared::new(connection_times(CallerLimits::default()));
     let server = smol::block_on(HttpServer::bind(options.listen, Limits::default()))?;
-    let server = server.with_times(times.clone());
+    let server = server.with_timeouts(times.clone());
     let ready_server = smol::block_on(HttpServer::bind(options.ready_listen, Limits::default()))?;
     let id = GatewayId::new(format!("{}.{:016x}", options.name, rand::random::<u64>()));
     let (requests_in, requests) = bounded::<GatewayRequest>(QUEUED_REQUESTS);
--- a/components/forwarding-shell/src/stream/engine_run.rs
+++ b/components/forwarding-shell/src/stream/engine_run.rs
@@ -73,7 +73,7 @@
     /// It came to its proper end.
     pub(super) fn ended(mut self, call: &Call) {
         self.open.guard.succeeded();
-        if self.has_begun && self.open.exchange.tells_end() {
+        if self.has_begun && self.open.exchange.has_explicit_end() {
             self.open.guard.completed(call);
         }
         self.open.exchange.finish();
--- a/components/forwarding-shell/src/stream/mod.rs
+++ b/components/forwarding-shell/src/stream/mod.rs
@@ -13,7 +13,7 @@
 use futures_lite::stream::unfold;
 use garnet_routes::WorkKind;
 use garnet_runtime::Body;
-use garnet_runtime::server::{BodyCut, stream_body};
+use garnet_runtime::server::{BodyAborted, stream_body};
 use garnet_types::{BackendId, Millis};
 use hyper::Response;
 use hyper::body::Bytes;
@@ -117,7 +117,7 @@
                 Next::Cut(cause) => {
                     stream.note_cut(cause);
                     finished(&stream.gateway, &stream.search.running, "cut", 200);
-                    Some((Err(BodyCut::BackendBroke), None))
+                    Some((Err(BodyAborted::BackendDisconnected), None))
                 }
             }
         });
--- a/components/forwarding-shell/src/watch.rs
+++ b/components/forwarding-shell/src/watch.rs
@@ -10,7 +10,7 @@
     UsageReceipt, WatchUpdate, usage_interval,
 };
 use garnet_forwarding::Forwarder;
-use garnet_runtime::control_link::ControlLinkOwner;
+use garnet_runtime::control_link::ControlLinkHandler;
 use garnet_supervisor::{ChildError, ChildSpec, Restart, StopSignal};
 use garnet_types::{EncodingVersion, GatewayId, Millis};
 use smol::Timer;
@@ -313,7 +313,7 @@
     }
 }
 
-impl<C: CallerPort + 'static, B: BackendPort + 'static> ControlLinkOwner for WatchOwner<C, B> {
+impl<C: CallerPort + 'static, B: BackendPort + 'static> ControlLinkHandler for WatchOwner<C, B> {
     fn replicas(&self) -> Vec<String> {
         let mut known = self.0.group.borrow().clone();
         for address in self.0.replicas.current() {
@@ -324,7 +324,7 @@
         known
     }
 
-    fn connected(&self, version: EncodingVersion) {
+    fn on_connected(&self, version: EncodingVersion) {
         while self.0.queued.try_recv().is_ok() {}
         let mut forwarder = self.0.gateway.forwarder.borrow_mut();
         forwarder.connected(version);
@@ -332,11 +332,11 @@
         self.0.ask();
     }
 
-    fn heard(&self, reply: ControlReply) {
+    fn on_reply(&self, reply: ControlReply) {
         self.0.hear(reply);
     }
 
-    fn heard_last_known(&self, configuration: Arc<Configuration>) {
+    fn on_last_known(&self, configuration: Arc<Configuration>) {
         self.0.hear_last_known(configuration);
     }
 }
@@ -352,13 +352,13 @@
                 let mut round: u32 = 0;
                 loop {
                     Timer::after(watch.interval()).await;
-                    if let Some(suspended) = watch.gateway.timers.look() {
+                    if let Some(suspended) = watch.gateway.timers.check_suspension() {
                         log::warn!(for_ms = suspended.as_millis() as u64; "was_suspended");
                     }
                     watch.ask();
                     round = round.wrapping_add(1);
                     if round.is_multiple_of(SWEEP_EVERY) {
-                        watch.gateway.pool.sweep();
+                        watch.gateway.pool.close_expired();
                     }
                 }
             };
--- a/components/forwarding-shell/src/whole.rs
+++ b/components/forwarding-shell/src/whole.rs
@@ -240,7 +240,7 @@
     let read = open.exchange.read_whole(LONGEST_ANSWER).await;
     match read {
         Ok(body) => {
-            if open.exchange.tells_end() {
+            if open.exchange.has_explicit_end() {
                 open.guard.completed(call);
             }
             let status = open.exchange.head.status;
--- a/components/runtime/src/client.rs
+++ b/components/runtime/src/client.rs
@@ -77,9 +77,9 @@
     /// A client whose connections run on `executor`.
     pub fn new(executor: Rc<LocalExecutor<'static>>) -> Self {
         let settings = PoolSettings {
-            connect_time: CONNECT_TIME,
-            silence: SILENCE,
-            idle_time: IDLE_TIME,
+            connect_timeout: CONNECT_TIME,
+            ack_timeout: SILENCE,
+            idle_timeout: IDLE_TIME,
             idle_per_address: IDLE_PER_ADDRESS,
         };
         HttpClient {
--- a/components/runtime/src/clock.rs
+++ b/components/runtime/src/clock.rs
@@ -9,20 +9,20 @@
 #[derive(Debug, Clone, Copy)]
 pub enum TimeSource {
     /// Stands still while the machine is suspended.
-    Steady,
+    Monotonic,
     /// Goes on while the machine is suspended.
-    SinceBoot,
+    BootTime,
     /// For tests.
-    Given(fn() -> Duration),
+    Custom(fn() -> Duration),
 }
 
 impl TimeSource {
     /// Time since a moment that stays the same.
     pub fn elapsed(self) -> Duration {
         match self {
-            TimeSource::Steady => read(ClockId::Monotonic),
-            TimeSource::SinceBoot => read(ClockId::Boottime),
-            TimeSource::Given(source) => source(),
+            TimeSource::Monotonic => read(ClockId::Monotonic),
+            TimeSource::BootTime => read(ClockId::Boottime),
+            TimeSource::Custom(source) => source(),
         }
     }
 }
@@ -48,7 +48,7 @@
 
 impl Default for Clock {
     fn default() -> Self {
-        Clock::new(TimeSource::SinceBoot)
+        Clock::new(TimeSource::BootTime)
     }
 }
 
--- a/components/runtime/src/connect_timeout.rs
+++ b/components/runtime/src/connect_timeout.rs
@@ -13,17 +13,17 @@
 
 /// The waits for one address, or for several that stand for one another.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct ConnectTime {
+pub struct ConnectTimeout {
     next: Duration,
 }
 
-impl Default for ConnectTime {
+impl Default for ConnectTimeout {
     fn default() -> Self {
-        ConnectTime { next: FIRST }
+        ConnectTimeout { next: FIRST }
     }
 }
 
-impl ConnectTime {
+impl ConnectTimeout {
     /// The wait for the next connection.
     pub fn next(&self) -> Duration {
         self.next
--- a/components/runtime/src/connection_limit.rs
+++ b/components/runtime/src/connection_limit.rs
@@ -9,27 +9,27 @@
 
 /// Open connections of a server with a bound. Other threads may read the counts.
 #[derive(Debug)]
-pub struct ConnectionBound {
+pub struct ConnectionLimit {
     most: usize,
     open: AtomicUsize,
-    most_open: AtomicUsize,
+    peak_open: AtomicUsize,
     resets: Mutex<Vec<Instant>>,
 }
 
-impl ConnectionBound {
+impl ConnectionLimit {
     /// A bound of so many open connections.
     pub fn new(most: usize) -> Arc<Self> {
-        Arc::new(ConnectionBound {
+        Arc::new(ConnectionLimit {
             most,
             open: AtomicUsize::new(0),
-            most_open: AtomicUsize::new(0),
+            peak_open: AtomicUsize::new(0),
             resets: Mutex::default(),
         })
     }
 
     /// Most connections that were open at once.
-    pub fn most_open(&self) -> usize {
-        self.most_open.load(Ordering::Relaxed)
+    pub fn peak_open(&self) -> usize {
+        self.peak_open.load(Ordering::Relaxed)
     }
 
     /// When connections were reset.
@@ -52,14 +52,14 @@
             return None;
         }
         self.open.store(open + 1, Ordering::Relaxed);
-        self.most_open.fetch_max(open + 1, Ordering::Relaxed);
+        self.peak_open.fetch_max(open + 1, Ordering::Relaxed);
         Some((stream, OpenConnection(Arc::clone(self))))
     }
 }
 
 /// Counts a connection as open until it is dropped.
 #[derive(Debug)]
-pub(crate) struct OpenConnection(Arc<ConnectionBound>);
+pub(crate) struct OpenConnection(Arc<ConnectionLimit>);
 
 impl Drop for OpenConnection {
     fn drop(&mut self) {
--- a/components/runtime/src/connection_timer.rs
+++ b/components/runtime/src/connection_timer.rs
@@ -17,7 +17,7 @@
 use smol::Timer;
 use smol::net::TcpStream;
 
-use crate::server::{Body, BodyCut};
+use crate::server::{Body, BodyAborted};
 use crate::shared::Shared;
 
 /// Limits are looked at again after this time at the latest.
@@ -28,11 +28,11 @@
 
 /// Bounds on the time of one connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct ConnectionTimes {
+pub struct ConnectionTimeouts {
     /// Longest time from the first byte of a head to its last.
     pub head: Duration,
     /// Longest rest between an answer and the next head.
-    pub rest: Duration,
+    pub idle: Duration,
 }
 
 /// What a connection is doing.
@@ -59,15 +59,15 @@
 
 /// The phase of one connection and when it began.
 #[derive(Debug)]
-pub(crate) struct ConnectionClock {
+pub(crate) struct ConnectionTimer {
     phase: Cell<Phase>,
     since: Cell<Instant>,
     has_served: Cell<bool>,
 }
 
-impl ConnectionClock {
+impl ConnectionTimer {
     pub(crate) fn start() -> Rc<Self> {
-        Rc::new(ConnectionClock {
+        Rc::new(ConnectionTimer {
             phase: Cell::new(Phase::Resting),
             since: Cell::new(Instant::now()),
             has_served: Cell::new(false),
@@ -102,16 +102,16 @@
     }
 
     /// Ends when the connection has taken longer than it may.
-    pub(crate) async fn overdue(&self, times: &Shared<ConnectionTimes>) {
+    pub(crate) async fn overdue(&self, times: &Shared<ConnectionTimeouts>) {
         while let Some(left) = self.left(&times.current()) {
             Timer::after(left.min(LOOK_AGAIN)).await;
         }
     }
 
     /// Time until the present phase must be over; `None` when it must be now.
-    fn left(&self, times: &ConnectionTimes) -> Option<Duration> {
+    fn left(&self, times: &ConnectionTimeouts) -> Option<Duration> {
         let most = match self.phase.get() {
-            Phase::Resting => times.rest,
+            Phase::Resting => times.idle,
             Phase::Head => times.head,
             Phase::Serving => return Some(LOOK_AGAIN),
         };
@@ -133,12 +133,12 @@
 
 /// A connection that notes when bytes arrive.
 #[derive(Debug)]
-pub(crate) struct ClockedStream {
+pub(crate) struct TimedStream {
     pub(crate) stream: TcpStream,
-    pub(crate) clock: Rc<ConnectionClock>,
+    pub(crate) clock: Rc<ConnectionTimer>,
 }
 
-impl AsyncRead for ClockedStream {
+impl AsyncRead for TimedStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -152,7 +152,7 @@
     }
 }
 
-impl AsyncWrite for ClockedStream {
+impl AsyncWrite for TimedStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -171,19 +171,19 @@
 }
 
 /// A body at whose end, or drop, the connection rests.
-pub(crate) struct ClockedBody {
+pub(crate) struct TimedBody {
     pub(crate) body: Body,
-    pub(crate) clock: Rc<ConnectionClock>,
+    pub(crate) clock: Rc<ConnectionTimer>,
 }
 
-impl HttpBody for ClockedBody {
+impl HttpBody for TimedBody {
     type Data = Bytes;
-    type Error = BodyCut;
+    type Error = BodyAborted;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, BodyCut>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, BodyAborted>>> {
         self.body.as_mut().poll_frame(context)
     }
 
@@ -196,7 +196,7 @@
     }
 }
 
-impl Drop for ClockedBody {
+impl Drop for TimedBody {
     fn drop(&mut self) {
         self.clock.enter(Phase::Resting);
     }
--- a/components/runtime/src/control_link.rs
+++ b/components/runtime/src/control_link.rs
@@ -10,25 +10,25 @@
 use smol::Timer;
 use smol::channel::Receiver;
 
-use crate::connect_time::ConnectTime;
+use crate::connect_timeout::ConnectTimeout;
 use crate::frames::{self, FrameReader, FrameWriter};
-use crate::offers::{Offers, time_to_offer_again};
+use crate::version_offers::{VersionOffers, wait_to_reoffer};
 
 /// A replica that answers nothing for so long is left for the next one.
 const SILENCE: Duration = Duration::from_millis(1200);
 const PAUSE: Duration = Duration::from_millis(50);
 
 /// Who keeps the connection.
-pub trait ControlLinkOwner: Clone + 'static {
+pub trait ControlLinkHandler: Clone + 'static {
     /// Addresses of the replicas as they are known now.
     fn replicas(&self) -> Vec<String>;
     /// A connection is open and speaks this version; what is to be asked first may be
     /// queued.
-    fn connected(&self, _version: EncodingVersion) {}
+    fn on_connected(&self, _version: EncodingVersion) {}
     /// Takes a reply of the leader.
-    fn heard(&self, reply: ControlReply);
+    fn on_reply(&self, reply: ControlReply);
     /// Takes what a replica knew last while there is no leader.
-    fn heard_last_known(&self, _configuration: Arc<Configuration>) {}
+    fn on_last_known(&self, _configuration: Arc<Configuration>) {}
 }
 
 /// Why a connection was left.
@@ -44,7 +44,7 @@
 }
 
 /// A child that keeps a connection to the leader and sends what is queued.
-pub fn child<O: ControlLinkOwner>(
+pub fn child<O: ControlLinkHandler>(
     owner: O,
     id: GatewayId,
     requests: Receiver<GatewayRequest>,
@@ -59,8 +59,8 @@
                 requests: requests.clone(),
                 position: 0,
                 in_touch: false,
-                connect_time: ConnectTime::default(),
-                offers: Offers::default(),
+                connect_timeout: ConnectTimeout::default(),
+                offers: VersionOffers::default(),
             };
             async move {
                 smol::future::or(link.run(), stop.stopped()).await;
@@ -76,11 +76,11 @@
     requests: Receiver<GatewayRequest>,
     position: usize,
     in_touch: bool,
-    connect_time: ConnectTime,
-    offers: Offers,
+    connect_timeout: ConnectTimeout,
+    offers: VersionOffers,
 }
 
-impl<O: ControlLinkOwner> Link<O> {
+impl<O: ControlLinkHandler> Link<O> {
     async fn run(&mut self) {
         let mut hint: Option<String> = None;
         loop {
@@ -106,7 +106,7 @@
 
     /// Talks to a replica in the first version that it takes.
     async fn visit(&mut self, address: &str) -> Left {
-        for _ in 0..Offers::COUNT {
+        for _ in 0..VersionOffers::COUNT {
             let left = self.try_version(address).await;
             if !matches!(left, Left::Refused) {
                 return left;
@@ -119,7 +119,7 @@
     async fn try_version(&mut self, address: &str) -> Left {
         let hello = FrameSender::Gateway(self.id.clone());
         let offered = self.offers.next();
-        match frames::connect(address, hello, offered, &mut self.connect_time).await {
+        match frames::connect(address, hello, offered, &mut self.connect_timeout).await {
             Ok((reader, writer)) => self.exchange(address, reader, writer).await,
             Err(WireError::HelloRefused) => Left::Refused,
             Err(_) => Left::Lost,
@@ -133,7 +133,7 @@
         mut writer: FrameWriter,
     ) -> Left {
         let version = writer.version();
-        self.owner.connected(version);
+        self.owner.on_connected(version);
         let requests = self.requests.clone();
         let writing = async {
             while let Ok(request) = requests.recv().await {
@@ -145,7 +145,7 @@
         };
         let reading = self.read(address, &mut reader);
         let offer_again = async {
-            time_to_offer_again(version).await;
+            wait_to_reoffer(version).await;
             Left::OfferAgain
         };
         smol::future::or(smol::future::or(reading, writing), offer_again).await
@@ -169,13 +169,13 @@
             match next {
                 Some(Ok(Some(Frame::Control(ControlReply::NotLeader { leader, last_known })))) => {
                     if let Some(configuration) = last_known {
-                        self.owner.heard_last_known(configuration.value());
+                        self.owner.on_last_known(configuration.value());
                     }
                     return Left::NotLeader(leader);
                 }
                 Some(Ok(Some(Frame::Control(reply)))) => {
                     self.note_regained(address);
-                    self.owner.heard(reply);
+                    self.owner.on_reply(reply);
                 }
                 Some(Ok(None) | Err(_)) if !is_accepted => return Left::Refused,
                 _ => return Left::Lost,
--- a/components/runtime/src/frames.rs
+++ b/components/runtime/src/frames.rs
@@ -9,8 +9,8 @@
 use std::io;
 use std::time::Duration;
 
-use crate::connect_time::ConnectTime;
-use crate::sockets::{connect_in_time, end_when_silent};
+use crate::connect_timeout::ConnectTimeout;
+use crate::sockets::{connect_with_timeout, set_silence_timeouts};
 
 /// Largest buffer that a connection keeps between frames.
 const KEPT_BUFFER_BYTES: usize = 32 * 1024;
@@ -34,7 +34,7 @@
     let version = EncodingVersion::CURRENT;
     // Latency matters more than the count of packets.
     let _unset = stream.set_nodelay(true);
-    end_when_silent(&stream, SILENCE);
+    set_silence_timeouts(&stream, SILENCE);
     let reader = FrameReader {
         frames: FramedRead::new(stream.clone(), FrameCodec::new(version)),
     };
@@ -55,9 +55,9 @@
     address: &str,
     sender: Sender,
     offered: EncodingVersion,
-    time: &mut ConnectTime,
+    time: &mut ConnectTimeout,
 ) -> Result<(FrameReader, FrameWriter), WireError> {
-    let connected = connect_in_time(address, time.next()).await;
+    let connected = connect_with_timeout(address, time.next()).await;
     match &connected {
         Ok(_) => time.succeeded(),
         Err(_) => time.failed(),
--- a/components/runtime/src/log_limit.rs
+++ b/components/runtime/src/log_limit.rs
@@ -14,7 +14,7 @@
 struct Written {
     second: u64,
     lines: u32,
-    left_out: u64,
+    suppressed: u64,
 }
 
 /// Counts the lines of each kind.
@@ -29,15 +29,15 @@
     /// It is written, after this many of its kind were left out.
     Write {
         /// Lines left out since the last one that was written.
-        left_out: u64,
+        suppressed: u64,
     },
     /// It is left out and counted.
-    LeaveOut,
+    Suppress,
 }
 
 impl LogLimit {
     /// Judges a line of `event` at a time.
-    pub fn judge(&mut self, event: &'static str, time_ms: u64) -> Verdict {
+    pub fn check(&mut self, event: &'static str, time_ms: u64) -> Verdict {
         let written = self.events.entry(event).or_default();
         let second = time_ms / SECOND_MS;
         if written.second != second {
@@ -45,11 +45,11 @@
             written.lines = 0;
         }
         if written.lines >= LINES_PER_SECOND {
-            written.left_out += 1;
-            return Verdict::LeaveOut;
+            written.suppressed += 1;
+            return Verdict::Suppress;
         }
         written.lines += 1;
-        let left_out = std::mem::take(&mut written.left_out);
-        Verdict::Write { left_out }
+        let suppressed = std::mem::take(&mut written.suppressed);
+        Verdict::Write { suppressed }
     }
 }
--- a/components/runtime/src/log_writer.rs
+++ b/components/runtime/src/log_writer.rs
@@ -24,7 +24,7 @@
 #[derive(Debug, Clone, Default)]
 pub struct LogCounts {
     waiting: Arc<AtomicU64>,
-    left_out: Arc<AtomicU64>,
+    suppressed: Arc<AtomicU64>,
 }
 
 impl LogCounts {
@@ -59,7 +59,7 @@
         self.counts.waiting.fetch_add(1, Ordering::AcqRel);
         if self.lines.try_send(line.to_vec()).is_err() {
             self.counts.waiting.fetch_sub(1, Ordering::AcqRel);
-            self.counts.left_out.fetch_add(1, Ordering::Relaxed);
+            self.counts.suppressed.fetch_add(1, Ordering::Relaxed);
         }
         Ok(line.len())
     }
@@ -71,7 +71,7 @@
 
 fn write_all(mut output: impl Write, queued: &Receiver<Vec<u8>>, counts: &LogCounts) {
     while let Ok(line) = queued.recv() {
-        let lost = counts.left_out.swap(0, Ordering::Relaxed);
+        let lost = counts.suppressed.swap(0, Ordering::Relaxed);
         if lost > 0 {
             // A reader that is gone takes nothing any more.
             let _gone = writeln!(output, "level=warn event=log_lines_left_out count={lost}");
--- a/components/runtime/src/logging.rs
+++ b/components/runtime/src/logging.rs
@@ -38,13 +38,13 @@
         .target(Target::Pipe(Box::new(output)))
         .format(move |output, record| {
             let now = clock.now().0;
-            let left_out = match judge(&limit, record, now) {
-                Verdict::LeaveOut => return Ok(()),
-                Verdict::Write { left_out } => left_out,
+            let suppressed = match judge(&limit, record, now) {
+                Verdict::Suppress => return Ok(()),
+                Verdict::Write { suppressed } => suppressed,
             };
             let line = format_line(now, &process, record);
-            if left_out > 0 {
-                return writeln!(output, "{line} lines_left_out={left_out}");
+            if suppressed > 0 {
+                return writeln!(output, "{line} lines_left_out={suppressed}");
             }
             writeln!(output, "{line}")
         })
@@ -57,8 +57,8 @@
 /// Events without a fixed name are not limited.
 fn judge(limit: &Mutex<LogLimit>, record: &Record<'_>, now: u64) -> Verdict {
     match (record.args().as_str(), limit.lock()) {
-        (Some(event), Ok(mut limit)) => limit.judge(event, now),
-        _ => Verdict::Write { left_out: 0 },
+        (Some(event), Ok(mut limit)) => limit.check(event, now),
+        _ => Verdict::Write { suppressed: 0 },
     }
 }
 
--- a/components/runtime/src/metrics.rs
+++ b/components/runtime/src/metrics.rs
@@ -44,7 +44,7 @@
 const END_OF_TEXT: &str = "# EOF\n";
 
 /// The metrics of a registry as text.
-pub fn text_of(registry: &Registry) -> String {
+pub fn encode_registry(registry: &Registry) -> String {
     let mut text = String::new();
     // Writing to a string has no way to fail.
     let _written = encode(&mut text, registry);
@@ -68,7 +68,7 @@
 }
 
 /// Two pages as one.
-pub fn joined(first: &str, second: &str) -> String {
+pub fn join_pages(first: &str, second: &str) -> String {
     let first = first.strip_suffix(END_OF_TEXT).unwrap_or(first);
     format!("{first}{second}")
 }
@@ -88,5 +88,5 @@
             at += 1;
         }
     }
-    text_of(&registry)
+    encode_registry(&registry)
 }
--- a/components/runtime/src/pool.rs
+++ b/components/runtime/src/pool.rs
@@ -22,7 +22,7 @@
 
 use crate::client::HttpError;
 use crate::clock::Clock;
-use crate::sockets::{connect_in_time, end_when_silent};
+use crate::sockets::{connect_with_timeout, set_silence_timeouts};
 
 /// Header by which the other end tells how long it keeps an idle connection.
 const KEEP_ALIVE: &str = "keep-alive";
@@ -33,11 +33,11 @@
 #[derive(Debug, Clone, Copy)]
 pub struct PoolSettings {
     /// Longest time to connect.
-    pub connect_time: Duration,
+    pub connect_timeout: Duration,
     /// A connection whose bytes are not acknowledged for so long is over.
-    pub silence: Duration,
+    pub ack_timeout: Duration,
     /// How long an idle connection is kept where the other end tells nothing.
-    pub idle_time: Duration,
+    pub idle_timeout: Duration,
     /// Idle connections kept for one address.
     pub idle_per_address: usize,
 }
@@ -45,9 +45,9 @@
 impl Default for PoolSettings {
     fn default() -> Self {
         PoolSettings {
-            connect_time: Duration::from_millis(150),
-            silence: Duration::from_millis(1200),
-            idle_time: Duration::from_secs(4),
+            connect_timeout: Duration::from_millis(150),
+            ack_timeout: Duration::from_millis(1200),
+            idle_timeout: Duration::from_secs(4),
             idle_per_address: 64,
         }
     }
@@ -80,7 +80,7 @@
     sender: Sender,
     address: String,
     /// Idle connections to the address that may be kept, with this one.
-    most_idle: usize,
+    max_idle: usize,
     pool: ConnectionPool,
 }
 
@@ -114,13 +114,13 @@
         address: &str,
         request: Request<Full<Bytes>>,
     ) -> Result<Exchange, HttpError> {
-        let most_idle = self.settings.idle_per_address;
-        self.send_if(address, request, most_idle, || true).await
+        let max_idle = self.settings.idle_per_address;
+        self.send_if(address, request, max_idle, || true).await
     }
 
     /// Sends a request as [`Self::send`] does, if `may_send` holds once its connection is
     /// there: a connection may take longer than what its sender knew stays true. At most
-    /// `most_idle` idle connections to the address are kept afterwards.
+    /// `max_idle` idle connections to the address are kept afterwards.
     ///
     /// # Errors
     /// [`HttpError::Withheld`] where it does not hold, and as [`HttpError`] says.
@@ -128,7 +128,7 @@
         &self,
         address: &str,
         mut request: Request<Full<Bytes>>,
-        most_idle: usize,
+        max_idle: usize,
         may_send: impl Fn() -> bool,
     ) -> Result<Exchange, HttpError> {
         while let Some(mut sender) = self.take_idle(address) {
@@ -136,12 +136,12 @@
                 continue;
             }
             if !may_send() {
-                self.keep(address, sender, self.settings.idle_time, most_idle);
+                self.keep(address, sender, self.settings.idle_timeout, max_idle);
                 return Err(HttpError::Withheld);
             }
             match sender.try_send_request(request).await {
                 Ok(response) => {
-                    return Ok(self.exchange(address, sender, response, false, most_idle));
+                    return Ok(self.exchange(address, sender, response, false, max_idle));
                 }
                 Err(mut error) => match error.take_message() {
                     Some(unsent) => request = unsent,
@@ -151,11 +151,11 @@
         }
         let mut sender = self.connect(address).await?;
         if !may_send() {
-            self.keep(address, sender, self.settings.idle_time, most_idle);
+            self.keep(address, sender, self.settings.idle_timeout, max_idle);
             return Err(HttpError::Withheld);
         }
         match sender.try_send_request(request).await {
-            Ok(response) => Ok(self.exchange(address, sender, response, true, most_idle)),
+            Ok(response) => Ok(self.exchange(address, sender, response, true, max_idle)),
             Err(mut error) => {
                 let unsent = error.take_message().is_some();
                 let cause = error.into_error().to_string();
@@ -169,12 +169,12 @@
     }
 
     /// Leaves all idle connections to an address.
-    pub fn forget(&self, address: &str) {
+    pub fn close_idle(&self, address: &str) {
         self.idle.borrow_mut().remove(address);
     }
 
     /// Leaves idle connections whose time is over.
-    pub fn sweep(&self) {
+    pub fn close_expired(&self) {
         let now = self.clock.now();
         let mut idle = self.idle.borrow_mut();
         for kept in idle.values_mut() {
@@ -189,7 +189,7 @@
         sender: Sender,
         response: Response<Incoming>,
         fresh: bool,
-        most_idle: usize,
+        max_idle: usize,
     ) -> Exchange {
         let (head, body) = response.into_parts();
         Exchange {
@@ -198,17 +198,17 @@
             body,
             sender,
             address: address.to_owned(),
-            most_idle,
+            max_idle,
             pool: self.clone(),
         }
     }
 
     async fn connect(&self, address: &str) -> Result<Sender, HttpError> {
         let unsent = |error: std::io::Error| HttpError::NotSent(error.to_string());
-        let connecting = connect_in_time(address, self.settings.connect_time);
+        let connecting = connect_with_timeout(address, self.settings.connect_timeout);
         let stream = connecting.await.map_err(unsent)?;
         let _unset = stream.set_nodelay(true);
-        end_when_silent(&stream, self.settings.silence);
+        set_silence_timeouts(&stream, self.settings.ack_timeout);
         let (sender, connection) = Builder::new()
             .handshake(FuturesIo::new(stream))
             .await
@@ -233,13 +233,13 @@
         None
     }
 
-    fn keep(&self, address: &str, sender: Sender, idle_time: Duration, most_idle: usize) {
+    fn keep(&self, address: &str, sender: Sender, idle_timeout: Duration, max_idle: usize) {
         let mut idle = self.idle.borrow_mut();
         let kept = idle.entry(address.to_owned()).or_default();
-        let most_idle = most_idle.min(self.settings.idle_per_address);
-        kept.truncate(most_idle);
-        if kept.len() < most_idle && !sender.is_closed() {
-            let until = self.clock.now() + Millis(idle_time.as_millis() as u64);
+        let max_idle = max_idle.min(self.settings.idle_per_address);
+        kept.truncate(max_idle);
+        if kept.len() < max_idle && !sender.is_closed() {
+            let until = self.clock.now() + Millis(idle_timeout.as_millis() as u64);
             kept.push(Idle { sender, until });
         }
     }
@@ -281,7 +281,7 @@
 
     /// Whether the answer tells where it ends. One that doesn't ends with its
     /// connection, also where its sender crashes.
-    pub fn tells_end(&self) -> bool {
+    pub fn has_explicit_end(&self) -> bool {
         let headers = &self.head.headers;
         headers.contains_key(CONTENT_LENGTH) || headers.contains_key(TRANSFER_ENCODING)
     }
@@ -291,16 +291,16 @@
         if says_close(&self.head.headers) {
             return;
         }
-        let told = idle_time(&self.head.headers);
-        let idle_time = told.unwrap_or(self.pool.settings.idle_time);
+        let told = idle_timeout(&self.head.headers);
+        let idle_timeout = told.unwrap_or(self.pool.settings.idle_timeout);
         let Exchange {
             pool,
             address,
             sender,
-            most_idle,
+            max_idle,
             ..
         } = self;
-        pool.keep(&address, sender, idle_time, most_idle);
+        pool.keep(&address, sender, idle_timeout, max_idle);
     }
 }
 
@@ -313,7 +313,7 @@
 }
 
 /// How long an idle connection may be used, as the other end tells it.
-fn idle_time(headers: &HeaderMap) -> Option<Duration> {
+fn idle_timeout(headers: &HeaderMap) -> Option<Duration> {
     let value = headers.get(KEEP_ALIVE)?.to_str().ok()?;
     let told = value
         .split(',')
--- a/components/runtime/src/server.rs
+++ b/components/runtime/src/server.rs
@@ -22,21 +22,19 @@
 use smol_hyper::rt::{FuturesIo, SmolTimer};
 use thiserror::Error;
 
-use crate::connection_bound::{ConnectionBound, OpenConnection};
-use crate::connection_clock::{
-    ClockedBody, ClockedStream, ConnectionClock, ConnectionTimes, Phase,
-};
+use crate::connection_limit::{ConnectionLimit, OpenConnection};
+use crate::connection_timer::{ConnectionTimeouts, ConnectionTimer, Phase, TimedBody, TimedStream};
 use crate::shared::Shared;
 
 /// Body of a response.
-pub type Body = Pin<Box<dyn hyper::body::Body<Data = Bytes, Error = BodyCut>>>;
+pub type Body = Pin<Box<dyn hyper::body::Body<Data = Bytes, Error = BodyAborted>>>;
 
 /// The answer can't be brought to its end: its connection is closed, so that
 /// what was sent does not look whole.
 #[derive(Debug, Display, Error, Clone, Copy, PartialEq, Eq)]
-pub enum BodyCut {
+pub enum BodyAborted {
     /// the back end broke off
-    BackendBroke,
+    BackendDisconnected,
 }
 
 /// Bounds on what one connection may do.
@@ -72,9 +70,9 @@
 }
 
 /// Bounds on the time of a connection where nothing else is told.
-pub const DEFAULT_TIMES: ConnectionTimes = ConnectionTimes {
+pub const DEFAULT_TIMEOUTS: ConnectionTimeouts = ConnectionTimeouts {
     head: Duration::from_secs(5),
-    rest: Duration::from_secs(5),
+    idle: Duration::from_secs(5),
 };
 
 /// Pause after a connection that could not be accepted.
@@ -102,8 +100,8 @@
     /// `None` once a stop has closed it.
     listener: RefCell<Option<TcpListener>>,
     limits: Limits,
-    times: Shared<ConnectionTimes>,
-    bound: Option<Arc<ConnectionBound>>,
+    times: Shared<ConnectionTimeouts>,
+    bound: Option<Arc<ConnectionLimit>>,
 }
 
 /// Binds a port; the error names the address.
@@ -140,21 +138,21 @@
         Ok(HttpServer {
             listener: RefCell::new(Some(listener)),
             limits,
-            times: Shared::new(DEFAULT_TIMES),
+            times: Shared::new(DEFAULT_TIMEOUTS),
             bound: None,
         })
     }
 
     /// The same with bounds on time that the caller may change meanwhile.
     #[must_use]
-    pub fn with_times(mut self, times: Shared<ConnectionTimes>) -> Self {
+    pub fn with_timeouts(mut self, times: Shared<ConnectionTimeouts>) -> Self {
         self.times = times;
         self
     }
 
     /// The same, which resets connections beyond a bound.
     #[must_use]
-    pub fn with_bound(mut self, bound: Arc<ConnectionBound>) -> Self {
+    pub fn with_connection_limit(mut self, bound: Arc<ConnectionLimit>) -> Self {
         self.bound = Some(bound);
         self
     }
@@ -283,7 +281,7 @@
 async fn serve_connection<H, F>(
     stream: TcpStream,
     limits: Limits,
-    times: Shared<ConnectionTimes>,
+    times: Shared<ConnectionTimeouts>,
     handler: H,
     stop: Receiver<()>,
 ) where
@@ -292,7 +290,7 @@
 {
     // Latency matters more than the count of packets.
     let _unset = stream.set_nodelay(true);
-    let clock = ConnectionClock::start();
+    let clock = ConnectionTimer::start();
     let serving = Rc::clone(&clock);
     let service = service_fn(move |request| {
         serving.request_began();
@@ -300,10 +298,10 @@
         let clock = Rc::clone(&serving);
         async move {
             let response = response.await;
-            Ok::<_, Infallible>(response.map(|body| ClockedBody { body, clock }))
+            Ok::<_, Infallible>(response.map(|body| TimedBody { body, clock }))
         }
     });
-    let stream = ClockedStream {
+    let stream = TimedStream {
         stream,
         clock: Rc::clone(&clock),
     };
@@ -345,7 +343,7 @@
 
 /// A fault of one connection concerns nobody else. Its caller may miss an answer
 /// that was passed on whole, which no other line tells.
-fn note_fault(clock: &ConnectionClock, ended: hyper::Result<()>) {
+fn note_fault(clock: &ConnectionTimer, ended: hyper::Result<()>) {
     let Err(error) = ended else {
         return;
     };
@@ -433,7 +431,7 @@
 }
 
 /// A body whose chunks come from a stream, which may break off.
-pub fn stream_body(chunks: impl Stream<Item = Result<Bytes, BodyCut>> + 'static) -> Body {
+pub fn stream_body(chunks: impl Stream<Item = Result<Bytes, BodyAborted>> + 'static) -> Body {
     Box::pin(StreamBody::new(chunks.map(|chunk| chunk.map(Frame::data))))
 }
 
--- a/components/runtime/src/sockets.rs
+++ b/components/runtime/src/sockets.rs
@@ -19,7 +19,7 @@
 ///
 /// # Errors
 /// When the address is wrong, refuses or stays silent.
-pub async fn connect_in_time(address: &str, time: Duration) -> io::Result<TcpStream> {
+pub async fn connect_with_timeout(address: &str, time: Duration) -> io::Result<TcpStream> {
     let target: SocketAddr = address.parse().map_err(|_| {
         let message = format!("{address} is no IP address and port");
         io::Error::new(io::ErrorKind::InvalidInput, message)
@@ -37,7 +37,7 @@
 /// Ends the connection when sent bytes are not acknowledged within `silence`,
 /// or when an idle one does not answer probes. What the system does not know
 /// how to set is left as it is.
-pub fn end_when_silent(stream: &TcpStream, silence: Duration) {
+pub fn set_silence_timeouts(stream: &TcpStream, silence: Duration) {
     let milliseconds = u32::try_from(silence.as_millis()).unwrap_or(u32::MAX);
     let _unset = sockopt::set_tcp_user_timeout(stream, milliseconds);
     let probed = sockopt::set_socket_keepalive(stream, true)
--- a/components/runtime/src/timers.rs
+++ b/components/runtime/src/timers.rs
@@ -34,11 +34,11 @@
 impl Timers {
     /// Timers by `clock`, whose suspensions show against the steady one.
     pub fn new(clock: Clock) -> Self {
-        Timers::with_steady(clock, TimeSource::Steady)
+        Timers::with_monotonic(clock, TimeSource::Monotonic)
     }
 
     /// The same with another steady source.
-    pub fn with_steady(clock: Clock, steady: TimeSource) -> Self {
+    pub fn with_monotonic(clock: Clock, steady: TimeSource) -> Self {
         let inner = Inner {
             clock,
             steady,
@@ -66,7 +66,7 @@
 
     /// Looks whether the machine was suspended since the last look, and for how
     /// long. All who wait look at the clock again then.
-    pub fn look(&self) -> Option<Duration> {
+    pub fn check_suspension(&self) -> Option<Duration> {
         let ahead = self.0.ahead_now();
         let suspended = ahead.saturating_sub(self.0.ahead.replace(ahead));
         if suspended < SHORTEST_SUSPENSION {
--- a/components/runtime/src/version_offers.rs
+++ b/components/runtime/src/version_offers.rs
@@ -20,7 +20,7 @@
 
 /// Waits until a connection of this version is to be opened anew: never, where it is the
 /// present one.
-pub async fn time_to_offer_again(version: EncodingVersion) {
+pub async fn wait_to_reoffer(version: EncodingVersion) {
     if version == EncodingVersion::CURRENT {
         smol::future::pending::<()>().await;
     }
@@ -29,14 +29,14 @@
 
 /// The versions to offer, in their order.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Offers {
+pub struct VersionOffers {
     order: [EncodingVersion; 4],
     next: usize,
 }
 
-impl Default for Offers {
+impl Default for VersionOffers {
     fn default() -> Self {
-        Offers {
+        VersionOffers {
             order: [
                 EncodingVersion::CURRENT,
                 EncodingVersion::CURRENT,
@@ -48,7 +48,7 @@
     }
 }
 
-impl Offers {
+impl VersionOffers {
     /// How many there are.
     pub const COUNT: usize = 4;
 
--- a/components/runtime/tests/bounded_logs.rs
+++ b/components/runtime/tests/bounded_logs.rs
@@ -70,13 +70,13 @@
     let mut limit = LogLimit::default();
     let mut written = 0;
     for _ in 0..LINES_PER_SECOND + 50 {
-        if limit.judge("request_ended", 5_000) != Verdict::LeaveOut {
+        if limit.check("request_ended", 5_000) != Verdict::Suppress {
             written += 1;
         }
     }
     assert_eq!(written, LINES_PER_SECOND);
-    let other = limit.judge("stop_begun", 5_999);
-    assert_eq!(other, Verdict::Write { left_out: 0 });
-    let next = limit.judge("request_ended", 6_000);
-    assert_eq!(next, Verdict::Write { left_out: 50 });
+    let other = limit.check("stop_begun", 5_999);
+    assert_eq!(other, Verdict::Write { suppressed: 0 });
+    let next = limit.check("request_ended", 6_000);
+    assert_eq!(next, Verdict::Write { suppressed: 50 });
 }
--- a/components/runtime/tests/clock.rs
+++ b/components/runtime/tests/clock.rs
@@ -19,7 +19,7 @@
 /// ever, by which claims and windows of usage are told.
 #[test]
 fn processes_go_by_a_clock_that_counts_suspended_time() {
-    assert!(matches!(Clock::default().source(), TimeSource::SinceBoot));
+    assert!(matches!(Clock::default().source(), TimeSource::BootTime));
 }
 
 /// What a test says that the clock of a suspended machine shows.
@@ -41,19 +41,19 @@
 /// The steady timer would fire in an hour.
 #[test]
 fn what_is_due_when_the_machine_wakes_is_not_waited_for() {
-    let clock = Clock::new(TimeSource::Given(counted));
-    let timers = Timers::with_steady(clock, TimeSource::Given(stands_still));
+    let clock = Clock::new(TimeSource::Custom(counted));
+    let timers = Timers::with_monotonic(clock, TimeSource::Custom(stands_still));
     let due = clock.now() + Millis::from_secs(3600);
     smol::block_on(async {
         let mut waits = pin!(timers.sleep_until(due));
         assert!(smol::future::poll_once(waits.as_mut()).await.is_none());
-        assert_eq!(timers.look(), None);
+        assert_eq!(timers.check_suspension(), None);
         assert!(smol::future::poll_once(waits.as_mut()).await.is_none());
         suspend_for(Duration::from_secs(1800));
-        assert_eq!(timers.look(), Some(Duration::from_secs(1800)));
+        assert_eq!(timers.check_suspension(), Some(Duration::from_secs(1800)));
         assert!(smol::future::poll_once(waits.as_mut()).await.is_none());
         suspend_for(Duration::from_secs(1800));
-        assert_eq!(timers.look(), Some(Duration::from_secs(1800)));
+        assert_eq!(timers.check_suspension(), Some(Duration::from_secs(1800)));
         assert!(smol::future::poll_once(waits.as_mut()).await.is_some());
     });
 }
@@ -87,7 +87,7 @@
 fn a_connection_that_rested_through_a_suspension_is_not_used() {
     let address = keeps_connections();
     let executor = Rc::new(LocalExecutor::new());
-    let clock = Clock::new(TimeSource::Given(kept));
+    let clock = Clock::new(TimeSource::Custom(kept));
     let pool = ConnectionPool::with_clock(Rc::clone(&executor), PoolSettings::default(), clock);
     let asks_anew = async || {
         let request = get_request("/");
--- a/components/runtime/tests/connect_timeout.rs
+++ b/components/runtime/tests/connect_timeout.rs
@@ -2,11 +2,11 @@
 
 use std::time::Duration;
 
-use garnet_runtime::ConnectTime;
+use garnet_runtime::ConnectTimeout;
 
 #[test]
 fn waits_grow_up_to_a_bound_and_begin_anew() {
-    let mut time = ConnectTime::default();
+    let mut time = ConnectTimeout::default();
     let mut waits = Vec::new();
     for _ in 0..4 {
         waits.push(time.next());
--- a/components/runtime/tests/connection_timeouts.rs
+++ b/components/runtime/tests/connection_timeouts.rs
@@ -7,7 +7,7 @@
 use std::thread;
 use std::time::Duration;
 
-use garnet_runtime::{ConnectionTimes, HttpServer, Limits, Shared, text_response};
+use garnet_runtime::{ConnectionTimeouts, HttpServer, Limits, Shared, text_response};
 use smol::{LocalExecutor, Timer};
 
 const SHORT: Duration = Duration::from_millis(30);
@@ -21,15 +21,15 @@
 /// Serves with these limits, which change to `later` with the first request,
 /// while `caller` runs.
 fn serve<T: Send + 'static>(
-    first: ConnectionTimes,
-    later: ConnectionTimes,
+    first: ConnectionTimeouts,
+    later: ConnectionTimeouts,
     caller: impl FnOnce(SocketAddr) -> T + Send + 'static,
 ) -> T {
     let executor = Rc::new(LocalExecutor::new());
     let times = Shared::new(first);
     let any_port = "127.0.0.1:0".parse().expect("an address");
     let server = smol::block_on(HttpServer::bind(any_port, Limits::default())).expect("a port");
-    let server = server.with_times(times.clone());
+    let server = server.with_timeouts(times.clone());
     let address = server.address().expect("an address");
     let (done_in, done) = smol::channel::bounded(1);
     thread::spawn(move || {
@@ -66,9 +66,9 @@
 
 #[test]
 fn a_connection_that_rests_too_long_is_closed() {
-    let times = ConnectionTimes {
+    let times = ConnectionTimeouts {
         head: LONG,
-        rest: SHORT,
+        idle: SHORT,
     };
     let heard = serve(times, times, |address| rest_of(connect(address)));
     assert_eq!(heard, "");
@@ -76,9 +76,9 @@
 
 #[test]
 fn a_head_that_comes_too_slowly_ends_its_connection() {
-    let times = ConnectionTimes {
+    let times = ConnectionTimeouts {
         head: SHORT,
-        rest: LONG,
+        idle: LONG,
     };
     let heard = serve(times, times, |address| {
         let mut stream = connect(address);
@@ -90,9 +90,9 @@
 
 #[test]
 fn an_answer_may_take_longer_than_both_and_the_rest_counts_from_its_end() {
-    let times = ConnectionTimes {
+    let times = ConnectionTimeouts {
         head: SHORT,
-        rest: SHORT,
+        idle: SHORT,
     };
     let heard = serve(times, times, |address| {
         let mut stream = connect(address);
@@ -107,13 +107,13 @@
 
 #[test]
 fn limits_that_change_hold_for_connections_that_are_open() {
-    let first = ConnectionTimes {
+    let first = ConnectionTimeouts {
         head: LONG,
-        rest: LONG,
+        idle: LONG,
     };
-    let later = ConnectionTimes {
+    let later = ConnectionTimeouts {
         head: LONG,
-        rest: SHORT,
+        idle: SHORT,
     };
     let heard = serve(first, later, |address| {
         let mut stream = connect(address);
--- a/components/runtime/tests/planned_stop.rs
+++ b/components/runtime/tests/planned_stop.rs
@@ -17,7 +17,7 @@
 use std::thread;
 use std::time::Duration;
 
-use garnet_runtime::{ConnectionTimes, HttpServer, Limits, Shared, text_response};
+use garnet_runtime::{ConnectionTimeouts, HttpServer, Limits, Shared, text_response};
 use hyper::Request;
 use hyper::body::Incoming;
 use smol::LocalExecutor;
@@ -119,11 +119,11 @@
 /// comes, and writes `after` then.
 fn stop_before_the_head_is_in(before: &'static str, after: &'static str) -> String {
     let (server, address) = bind();
-    let short = ConnectionTimes {
+    let short = ConnectionTimeouts {
         head: Duration::from_millis(30),
-        rest: HANGS,
+        idle: HANGS,
     };
-    let server = server.with_times(Shared::new(short));
+    let server = server.with_timeouts(Shared::new(short));
     let executor = Rc::new(LocalExecutor::new());
     let (connected_in, connected) = bounded::<()>(1);
     let (taken_in, taken) = bounded::<()>(1);
--- a/components/runtime/tests/version_offers.rs
+++ b/components/runtime/tests/version_offers.rs
@@ -2,16 +2,16 @@
 
 use std::time::Duration;
 
-use garnet_runtime::Offers;
+use garnet_runtime::VersionOffers;
 use garnet_types::EncodingVersion;
 use rstest::rstest;
 
 const AT_ONCE: Duration = Duration::from_millis(3);
 const LATER: Duration = Duration::from_secs(5);
 
-/// Offers whose next one is the first of an earlier version.
-fn at_earlier() -> Offers {
-    let mut offers = Offers::default();
+/// VersionOffers whose next one is the first of an earlier version.
+fn at_earlier() -> VersionOffers {
+    let mut offers = VersionOffers::default();
     offers.refused();
     offers.refused();
     assert_eq!(offers.next(), EncodingVersion::V11);
@@ -43,7 +43,7 @@
 
 #[test]
 fn a_connection_of_the_present_version_is_never_refused_afterwards() {
-    let mut offers = Offers::default();
+    let mut offers = VersionOffers::default();
     offers.ended(EncodingVersion::CURRENT, AT_ONCE);
     assert_eq!(offers.next(), EncodingVersion::CURRENT);
     offers.refused();
