--- a/components/consensus/src/node.rs
+++ b/components/consensus/src/node.rs
@@ -235,16 +235,16 @@
     /// acknowledged. Counted from the start of leadership, or from when the
     /// member was added, if that is later.
     pub fn silent_for(&self, id: ReplicaId) -> Millis {
-        let acknowledged_at = self.acknowledged_at(id).unwrap_or(Millis::ZERO);
+        let last_acknowledged = self.acknowledged_at(id).unwrap_or(Millis::ZERO);
         let tracked = self.progress.get(&id).map_or(Millis::ZERO, |p| p.since);
         self.now
-            .since(acknowledged_at.max(tracked).max(self.leader_since))
+            .since(last_acknowledged.max(tracked).max(self.leader_since))
     }
 
     /// Whether a member is known to hold all of the log but the last few entries.
     pub fn is_caught_up(&self, id: ReplicaId) -> bool {
-        let match_index = self.progress.get(&id).map_or(0, |p| p.match_index);
-        match_index > 0 && match_index + CAUGHT_UP_ENTRIES >= self.log.last_index()
+        let acknowledged_index = self.progress.get(&id).map_or(0, |p| p.match_index);
+        acknowledged_index > 0 && acknowledged_index + CAUGHT_UP_ENTRIES >= self.log.last_index()
     }
 
     /// The commands in the log that were not yet returned for applying.
--- a/components/consensus/src/replication.rs
+++ b/components/consensus/src/replication.rs
@@ -34,8 +34,8 @@
     fn quorum_is_reachable(&self) -> bool {
         let timeout = self.config.election_timeout;
         let fresh = |id| {
-            let acknowledged_at = self.acknowledged_at(id).unwrap_or(self.leader_since);
-            self.now.since(acknowledged_at.max(self.leader_since)) < timeout + timeout
+            let last_acknowledged = self.acknowledged_at(id).unwrap_or(self.leader_since);
+            self.now.since(last_acknowledged.max(self.leader_since)) < timeout + timeout
         };
         self.membership.has_quorum(fresh)
     }
--- a/components/runtime/src/client.rs
+++ b/components/runtime/src/client.rs
@@ -1,7 +1,7 @@
-//! HTTP/1.1 client on the one loop, with idle connections kept.
+//! HTTP/1.1 client that reuses idle connections.
 //!
-//! Its errors keep apart what the rest of the system builds on: whether any
-//! byte of the request can have reached the other end.
+//! Its errors tell whether any byte of the request can have reached the server,
+//! as the decision to retry depends on it.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -15,45 +15,45 @@
 
 use crate::pool::{ConnectionPool, Exchange, PoolSettings};
 
-/// Idle connections kept for one address.
-const IDLE_PER_ADDRESS: usize = 32;
-/// How long an idle connection is kept where the other end tells nothing.
-const IDLE_TIME: Duration = Duration::from_secs(60);
-/// Largest response that is read as a whole, in bytes.
+/// Maximum count of idle connections to one address.
+const MAX_IDLE_PER_ADDRESS: usize = 32;
+/// Idle timeout of connections whose server announces none.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
+/// Maximum size of a response that is read as a whole.
 const MAX_RESPONSE_BYTES: usize = 32 * 1024 * 1024;
-/// Longest time to connect.
-const CONNECT_TIME: Duration = Duration::from_millis(500);
-/// A connection whose bytes are not acknowledged for so long is over.
-const SILENCE: Duration = Duration::from_secs(5);
+/// Timeout of a connection attempt.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+/// A connection ends when its bytes are not acknowledged for this time.
+const ACK_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// A request without its answer.
+/// A request failed or has no complete answer.
 #[derive(Debug, Display, Error)]
 pub enum HttpError {
-    /// nothing was sent: {0}
+    /// the request was not sent: {0}
     NotSent(String),
-    /// its sender withheld it
+    /// the request was withheld by its sender
     Withheld,
-    /// no whole answer came: {0}
+    /// the connection failed before the answer was complete: {0}
     Broken(String),
     /// the answer is longer than {0} bytes
     TooLong(usize),
-    /// no answer came in time
+    /// no complete answer arrived before the timeout
     TimedOut,
 }
 
 /// A response whose body is read chunk by chunk. Dropping it closes the
-/// connection, which cancels what the other end does for it.
+/// connection, which cancels the request at the server.
 pub struct StreamedResponse {
-    /// Head.
+    /// Status and headers.
     pub response: Response<()>,
     exchange: Exchange,
 }
 
 impl StreamedResponse {
-    /// The next chunk of the body, `None` at its proper end.
+    /// Returns the next chunk of the body, or `None` after the last one.
     ///
     /// # Errors
-    /// When the connection ends before the body does.
+    /// When the connection ends before the body is complete.
     pub async fn next(&mut self) -> Result<Option<Bytes>, HttpError> {
         self.exchange.next().await
     }
@@ -61,41 +61,41 @@
     /// Reads the rest of the body, up to `limit` bytes.
     ///
     /// # Errors
-    /// When it is longer, or the connection ends before it does.
+    /// When the body is longer, or the connection ends before it is complete.
     pub async fn read_whole(&mut self, limit: usize) -> Result<Bytes, HttpError> {
         self.exchange.read_whole(limit).await
     }
 }
 
-/// A client for any number of addresses.
+/// An HTTP client with a connection pool for all addresses.
 #[derive(Clone)]
 pub struct HttpClient {
     pool: ConnectionPool,
 }
 
 impl HttpClient {
-    /// A client whose connections run on `executor`.
+    /// Creates a client whose connections run on `executor`.
     pub fn new(executor: Rc<LocalExecutor<'static>>) -> Self {
         let settings = PoolSettings {
-            connect_timeout: CONNECT_TIME,
-            ack_timeout: SILENCE,
-            idle_timeout: IDLE_TIME,
-            idle_per_address: IDLE_PER_ADDRESS,
+            connect_timeout: CONNECT_TIMEOUT,
+            ack_timeout: ACK_TIMEOUT,
+            idle_timeout: IDLE_TIMEOUT,
+            idle_per_address: MAX_IDLE_PER_ADDRESS,
         };
         HttpClient {
             pool: ConnectionPool::new(executor, settings),
         }
     }
 
-    /// Sends a request and reads the whole answer within `patience`.
+    /// Sends a request and reads the whole answer within `timeout`.
     ///
     /// # Errors
-    /// As [`HttpError`] says.
+    /// See [`HttpError`].
     pub async fn send(
         &self,
         address: &str,
         request: Request<Full<Bytes>>,
-        patience: Duration,
+        timeout: Duration,
     ) -> Result<Response<Bytes>, HttpError> {
         let whole = async {
             let mut exchange = self.exchange(address, request).await?;
@@ -105,16 +105,16 @@
             Ok(Response::from_parts(head, body))
         };
         let late = async {
-            Timer::after(patience).await;
+            Timer::after(timeout).await;
             Err(HttpError::TimedOut)
         };
         smol::future::or(whole, late).await
     }
 
-    /// Sends a request whose answer is read chunk by chunk.
+    /// Sends a request and returns its answer as a stream of chunks.
     ///
     /// # Errors
-    /// As [`HttpError`] says.
+    /// See [`HttpError`].
     pub async fn stream(
         &self,
         address: &str,
@@ -137,7 +137,7 @@
     }
 }
 
-/// A request with a JSON body to a path of our own interfaces.
+/// Builds a request with a JSON body to one of this system's own interfaces.
 pub fn json_request(
     method: &str,
     path: &str,
@@ -147,15 +147,15 @@
     build_request(method, path, "application/json", bytes).unwrap_or_default()
 }
 
-/// A request without a body to a path of our own interfaces.
+/// Builds a GET request to one of this system's own interfaces.
 pub fn get_request(path: &str) -> Request<Full<Bytes>> {
     build_request("GET", path, "", Vec::new()).unwrap_or_default()
 }
 
-/// A request with a body of the given type.
+/// Builds a request with a body of the given type.
 ///
 /// # Errors
-/// When method or path are none that HTTP knows.
+/// When the method or the path is invalid.
 pub fn build_request(
     method: &str,
     path: &str,
--- a/components/runtime/src/clock.rs
+++ b/components/runtime/src/clock.rs
@@ -1,26 +1,26 @@
-//! The clock of a process: monotonic, and near the time of day.
+//! The clock of a process: monotonic, and close to the time of day.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use garnet_types::Millis;
 use rustix::time::{ClockId, clock_gettime};
 
-/// Where the time of a [`Clock`] comes from. It never goes back.
+/// The time source of a [`Clock`]. It never goes backwards.
 #[derive(Debug, Clone, Copy)]
 pub enum TimeSource {
-    /// Stands still while the machine is suspended.
-    Monotonic,
-    /// Goes on while the machine is suspended.
+    /// A monotonic clock that stops while the machine is suspended.
+    MonotonicTime,
+    /// A monotonic clock that continues while the machine is suspended.
     BootTime,
-    /// For tests.
+    /// A function that returns the time, for tests.
     Custom(fn() -> Duration),
 }
 
 impl TimeSource {
-    /// Time since a moment that stays the same.
+    /// Time since a fixed moment.
     pub fn elapsed(self) -> Duration {
         match self {
-            TimeSource::Monotonic => read(ClockId::Monotonic),
+            TimeSource::MonotonicTime => read(ClockId::Monotonic),
             TimeSource::BootTime => read(ClockId::Boottime),
             TimeSource::Custom(source) => source(),
         }
@@ -34,11 +34,12 @@
     Duration::new(seconds, nanoseconds)
 }
 
-/// Milliseconds since 1970 when the process started, plus the time since then.
+/// The time of day at the start of the process plus the time elapsed since then.
 ///
-/// The cores rely on it never going back; claims rely on it being near the
-/// time of day on every machine. Leases rely on it going on while the machine
-/// is suspended: a process that wakes must know that its time is over.
+/// The state machines rely on a clock that never goes backwards, claims on one
+/// that is close to the time of day on every machine. Leases rely on one that
+/// continues while the machine is suspended: a process that resumes must notice
+/// that its lease has expired.
 #[derive(Debug, Clone, Copy)]
 pub struct Clock {
     source: TimeSource,
@@ -53,7 +54,7 @@
 }
 
 impl Clock {
-    /// A clock that starts at the time of day and goes by `source`.
+    /// Creates a clock that starts at the time of day and advances by `source`.
     pub fn new(source: TimeSource) -> Self {
         let since_epoch = SystemTime::now()
             .duration_since(UNIX_EPOCH)
@@ -65,12 +66,12 @@
         }
     }
 
-    /// What it goes by.
+    /// The time source.
     pub fn source(&self) -> TimeSource {
         self.source
     }
 
-    /// The present.
+    /// The current time.
     pub fn now(&self) -> Millis {
         let elapsed = self.source.elapsed().saturating_sub(self.started);
         self.started_at + Millis(elapsed.as_millis() as u64)
--- a/components/runtime/src/command_line.rs
+++ b/components/runtime/src/command_line.rs
@@ -1,4 +1,4 @@
-//! What the command lines of all programs have in common.
+//! Functions shared by the command lines of all programs.
 
 use std::fmt;
 use std::io::{self, Write};
@@ -25,14 +25,13 @@
     })
 }
 
-/// Prints a message to standard error and gives the exit code for bad usage.
+/// Prints a message to standard error and returns the exit code for wrong usage.
 pub fn usage_error(message: impl std::fmt::Display) -> ExitCode {
     eprintln!("{message}");
     ExitCode::from(EXIT_USAGE)
 }
 
-/// Prints to standard output. A reader that has closed its end, as `head` does, ends the
-/// output and not the program.
+/// Prints to standard output. A closed pipe, for example to `head`, is not an error.
 pub fn print_text(text: fmt::Arguments<'_>) {
     let mut out = io::stdout().lock();
     match out.write_fmt(text).and_then(|()| out.flush()) {
@@ -42,7 +41,7 @@
     }
 }
 
-/// Prints to standard output as `print!` does, by [`print_text`].
+/// Prints to standard output like `print!`, using [`print_text`].
 #[macro_export]
 macro_rules! print_out {
     ($($argument:tt)*) => {
@@ -50,7 +49,7 @@
     };
 }
 
-/// Prints a line to standard output as `println!` does, by [`print_text`].
+/// Prints a line to standard output like `println!`, using [`print_text`].
 #[macro_export]
 macro_rules! print_line {
     ($($argument:tt)*) => {
--- a/components/runtime/src/connect_timeout.rs
+++ b/components/runtime/src/connect_timeout.rs
@@ -1,17 +1,17 @@
-//! How long a connection to another process of the system is waited for.
+//! Adaptive timeout for connections to other processes of the system.
 //!
-//! A machine without power answers nothing, and the operating system repeats a
-//! lost first packet only after a second. A short wait finds out soon that
-//! such a machine is back; waits that grow bear a path that takes long.
+//! A machine without power answers nothing, and the operating system resends a
+//! lost SYN packet only after a second. A short timeout soon detects that such a
+//! machine is back; growing timeouts allow for a path with a long round trip.
 
 use std::time::Duration;
 
-/// The first wait.
-const FIRST: Duration = Duration::from_millis(125);
-/// The longest one.
-const LONGEST: Duration = Duration::from_millis(500);
+/// Timeout of the first attempt.
+const INITIAL_TIMEOUT: Duration = Duration::from_millis(125);
+/// Upper bound of the timeout.
+const MAX_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// The waits for one address, or for several that stand for one another.
+/// The connect timeout for one address, or for several interchangeable ones.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ConnectTimeout {
     next: Duration,
@@ -19,23 +19,25 @@
 
 impl Default for ConnectTimeout {
     fn default() -> Self {
-        ConnectTimeout { next: FIRST }
+        ConnectTimeout {
+            next: INITIAL_TIMEOUT,
+        }
     }
 }
 
 impl ConnectTimeout {
-    /// The wait for the next connection.
+    /// Timeout of the next attempt.
     pub fn next(&self) -> Duration {
         self.next
     }
 
-    /// Notes a connection that did not come up: the next wait is longer.
+    /// Records a failed attempt, which doubles the timeout up to its bound.
     pub fn failed(&mut self) {
-        self.next = (self.next * 2).min(LONGEST);
+        self.next = (self.next * 2).min(MAX_TIMEOUT);
     }
 
-    /// Notes a connection that came up: the next wait is a short one again.
+    /// Records a successful attempt, which resets the timeout.
     pub fn succeeded(&mut self) {
-        self.next = FIRST;
+        self.next = INITIAL_TIMEOUT;
     }
 }
--- a/components/runtime/src/connection_limit.rs
+++ b/components/runtime/src/connection_limit.rs
@@ -1,4 +1,4 @@
-//! A bound on the open connections of a server, which resets those beyond it.
+//! A limit on the open connections of a server. Connections above it are reset.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex};
@@ -7,46 +7,52 @@
 use rustix::net::sockopt;
 use smol::net::TcpStream;
 
-/// Open connections of a server with a bound. Other threads may read the counts.
+/// Limits and counts the open connections of a server. Other threads may read the counts.
 #[derive(Debug)]
 pub struct ConnectionLimit {
-    most: usize,
+    max: usize,
     open: AtomicUsize,
     peak_open: AtomicUsize,
     resets: Mutex<Vec<Instant>>,
 }
 
 impl ConnectionLimit {
-    /// A bound of so many open connections.
-    pub fn new(most: usize) -> Arc<Self> {
+    /// Creates a limit of `max` open connections.
+    pub fn new(max: usize) -> Arc<Self> {
         Arc::new(ConnectionLimit {
-            most,
+            max,
             open: AtomicUsize::new(0),
             peak_open: AtomicUsize::new(0),
             resets: Mutex::default(),
         })
     }
 
-    /// Most connections that were open at once.
+    /// Highest count of connections open at once.
     pub fn peak_open(&self) -> usize {
         self.peak_open.load(Ordering::Relaxed)
     }
 
-    /// When connections were reset.
+    /// Times at which connections were reset.
     pub fn resets(&self) -> Vec<Instant> {
-        // A panic while it was held leaves a whole list.
-        let resets = self.resets.lock().unwrap_or_else(|held| held.into_inner());
+        // The list is consistent even if a thread panicked while it held the lock.
+        let resets = self
+            .resets
+            .lock()
+            .unwrap_or_else(|poisoned| poisoned.into_inner());
         resets.clone()
     }
 
-    /// Takes a connection, or resets it where the bound is reached.
+    /// Admits a connection, or resets it if the limit is reached.
     pub(crate) fn admit(
         self: &Arc<Self>,
         stream: TcpStream,
     ) -> Option<(TcpStream, OpenConnection)> {
         let open = self.open.load(Ordering::Relaxed);
-        if open >= self.most {
-            let mut resets = self.resets.lock().unwrap_or_else(|held| held.into_inner());
+        if open >= self.max {
+            let mut resets = self
+                .resets
+                .lock()
+                .unwrap_or_else(|poisoned| poisoned.into_inner());
             resets.push(Instant::now());
             reset(&stream);
             return None;
@@ -67,7 +73,7 @@
     }
 }
 
-/// A socket that is closed with no time to linger resets its connection.
+/// Resets the connection, by a linger time of zero when the socket is closed.
 fn reset(stream: &TcpStream) {
     if let Err(error) = sockopt::set_socket_linger(stream, Some(Duration::ZERO)) {
         log::warn!(cause = error.to_string().as_str(); "not_reset");
--- a/components/runtime/src/connection_timer.rs
+++ b/components/runtime/src/connection_timer.rs
@@ -1,9 +1,8 @@
-//! How long a caller's connection may rest, and how long its next head may
-//! take.
+//! Idle and request-head timeouts of callers' connections.
 //!
-//! The HTTP library knows one limit for both and fixes it when a connection is
-//! accepted. Here the two are told apart, and the limits are those in force
-//! when they are looked at.
+//! The HTTP library has a single timeout for both and sets it when a connection
+//! is accepted. This module has one timeout for each, and a change of settings
+//! takes effect on open connections.
 
 use std::cell::Cell;
 use std::io;
@@ -20,37 +19,37 @@
 use crate::server::{Body, BodyAborted};
 use crate::shared::Shared;
 
-/// Limits are looked at again after this time at the latest.
-const LOOK_AGAIN: Duration = Duration::from_secs(1);
+/// Interval at which changed timeouts are noticed.
+const TIMEOUT_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How often a stop looks whether a head is in.
-const LOOK_FOR_HEAD: Duration = Duration::from_millis(5);
+/// Poll interval for the end of a request head during a stop.
+const HEAD_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Bounds on the time of one connection.
+/// Timeouts of a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ConnectionTimeouts {
-    /// Longest time from the first byte of a head to its last.
+    /// Maximum time from the first to the last byte of a request head.
     pub head: Duration,
-    /// Longest rest between an answer and the next head.
+    /// Maximum time between an answer and the next request head.
     pub idle: Duration,
 }
 
 /// What a connection is doing.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Phase {
-    /// Nothing of the next head has arrived.
-    Resting,
-    /// A head arrives.
+    /// No byte of the next request head has arrived.
+    Idle,
+    /// A request head is arriving.
     Head,
-    /// A request is served.
+    /// A request is being served.
     Serving,
 }
 
 impl Phase {
-    /// Name in logs.
+    /// The name in logs.
     pub(crate) fn as_str(self) -> &'static str {
         match self {
-            Phase::Resting => "resting",
+            Phase::Idle => "resting",
             Phase::Head => "head",
             Phase::Serving => "serving",
         }
@@ -68,59 +67,59 @@
 impl ConnectionTimer {
     pub(crate) fn start() -> Rc<Self> {
         Rc::new(ConnectionTimer {
-            phase: Cell::new(Phase::Resting),
+            phase: Cell::new(Phase::Idle),
             since: Cell::new(Instant::now()),
             has_served: Cell::new(false),
         })
     }
 
-    pub(crate) fn request_began(&self) {
+    pub(crate) fn on_request(&self) {
         self.has_served.set(true);
         self.enter(Phase::Serving);
     }
 
-    /// Ends when no head is on its way, or after `most`.
-    pub(crate) async fn head_is_in(&self, most: Duration) {
+    /// Waits until no request head is expected, or until `timeout` has passed.
+    pub(crate) async fn head_received(&self, timeout: Duration) {
         let began = Instant::now();
-        while self.expects_head() && began.elapsed() < most {
-            Timer::after(LOOK_FOR_HEAD).await;
+        while self.expects_head() && began.elapsed() < timeout {
+            Timer::after(HEAD_POLL_INTERVAL).await;
         }
     }
 
-    /// What the connection is doing, and for how long.
+    /// The current phase and its duration so far.
     pub(crate) fn phase(&self) -> (Phase, Duration) {
         (self.phase.get(), self.since.get().elapsed())
     }
 
-    /// Whether a caller has begun a head, or has just connected to send one.
+    /// Whether the caller has started to send a request head, or has just connected.
     fn expects_head(&self) -> bool {
         match self.phase.get() {
-            Phase::Resting => !self.has_served.get(),
+            Phase::Idle => !self.has_served.get(),
             Phase::Head => true,
             Phase::Serving => false,
         }
     }
 
-    /// Ends when the connection has taken longer than it may.
-    pub(crate) async fn overdue(&self, times: &Shared<ConnectionTimeouts>) {
-        while let Some(left) = self.left(&times.current()) {
-            Timer::after(left.min(LOOK_AGAIN)).await;
+    /// Waits until the current phase exceeds its timeout.
+    pub(crate) async fn timed_out(&self, timeouts: &Shared<ConnectionTimeouts>) {
+        while let Some(remaining) = self.remaining(&timeouts.current()) {
+            Timer::after(remaining.min(TIMEOUT_CHECK_INTERVAL)).await;
         }
     }
 
-    /// Time until the present phase must be over; `None` when it must be now.
-    fn left(&self, times: &ConnectionTimeouts) -> Option<Duration> {
-        let most = match self.phase.get() {
-            Phase::Resting => times.idle,
-            Phase::Head => times.head,
-            Phase::Serving => return Some(LOOK_AGAIN),
+    /// Time left in the current phase; `None` when its timeout has expired.
+    fn remaining(&self, timeouts: &ConnectionTimeouts) -> Option<Duration> {
+        let timeout = match self.phase.get() {
+            Phase::Idle => timeouts.idle,
+            Phase::Head => timeouts.head,
+            Phase::Serving => return Some(TIMEOUT_CHECK_INTERVAL),
         };
-        let left = most.saturating_sub(self.since.get().elapsed());
-        (!left.is_zero()).then_some(left)
+        let remaining = timeout.saturating_sub(self.since.get().elapsed());
+        (!remaining.is_zero()).then_some(remaining)
     }
 
-    fn bytes_arrived(&self) {
-        if self.phase.get() == Phase::Resting {
+    fn on_bytes(&self) {
+        if self.phase.get() == Phase::Idle {
             self.enter(Phase::Head);
         }
     }
@@ -131,11 +130,11 @@
     }
 }
 
-/// A connection that notes when bytes arrive.
+/// A stream that informs its connection timer when bytes arrive.
 #[derive(Debug)]
 pub(crate) struct TimedStream {
     pub(crate) stream: TcpStream,
-    pub(crate) clock: Rc<ConnectionTimer>,
+    pub(crate) connection_timer: Rc<ConnectionTimer>,
 }
 
 impl AsyncRead for TimedStream {
@@ -146,7 +145,7 @@
     ) -> Poll<io::Result<usize>> {
         let read = Pin::new(&mut self.stream).poll_read(context, buffer);
         if matches!(read, Poll::Ready(Ok(count)) if count > 0) {
-            self.clock.bytes_arrived();
+            self.connection_timer.on_bytes();
         }
         read
     }
@@ -170,10 +169,10 @@
     }
 }
 
-/// A body at whose end, or drop, the connection rests.
+/// A response body. When it is dropped, its connection becomes idle.
 pub(crate) struct TimedBody {
     pub(crate) body: Body,
-    pub(crate) clock: Rc<ConnectionTimer>,
+    pub(crate) connection_timer: Rc<ConnectionTimer>,
 }
 
 impl HttpBody for TimedBody {
@@ -198,6 +197,6 @@
 
 impl Drop for TimedBody {
     fn drop(&mut self) {
-        self.clock.enter(Phase::Resting);
+        self.connection_timer.enter(Phase::Idle);
     }
 }
--- a/components/runtime/src/control_link.rs
+++ b/components/runtime/src/control_link.rs
@@ -14,38 +14,39 @@
 use crate::frames::{self, FrameReader, FrameWriter};
 use crate::version_offers::{VersionOffers, wait_to_reoffer};
 
-/// A replica that answers nothing for so long is left for the next one.
-const SILENCE: Duration = Duration::from_millis(1200);
-const PAUSE: Duration = Duration::from_millis(50);
+/// A connection to a replica that sends nothing for this time is closed.
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(1200);
+/// Pause between two connections.
+const RECONNECT_DELAY: Duration = Duration::from_millis(50);
 
-/// Who keeps the connection.
+/// Handles the events of the connection.
 pub trait ControlLinkHandler: Clone + 'static {
-    /// Addresses of the replicas as they are known now.
+    /// The currently known addresses of the replicas.
     fn replicas(&self) -> Vec<String>;
-    /// A connection is open and speaks this version; what is to be asked first may be
-    /// queued.
+    /// Called when a connection with this version is open. Initial requests may be queued
+    /// here.
     fn on_connected(&self, _version: EncodingVersion) {}
-    /// Takes a reply of the leader.
+    /// Handles a reply from the leader.
     fn on_reply(&self, reply: ControlReply);
-    /// Takes what a replica knew last while there is no leader.
+    /// Handles the last configuration that a replica knows, sent while there is no leader.
     fn on_last_known(&self, _configuration: Arc<Configuration>) {}
 }
 
-/// Why a connection was left.
-enum Left {
-    /// Another replica leads.
+/// Why a connection ended.
+enum Disconnect {
+    /// The replica is not the leader; it may name the leader.
     NotLeader(Option<String>),
-    /// It broke, or nothing was heard.
+    /// The connection failed, or nothing was received before the timeout.
     Lost,
-    /// It was closed before anything was received.
+    /// The connection was closed before anything was received.
     Refused,
-    /// It speaks an earlier version, and a later one may be spoken there now.
-    OfferAgain,
+    /// It uses an earlier version, and the replica may support a later one by now.
+    Reoffer,
 }
 
-/// A child that keeps a connection to the leader and sends what is queued.
+/// A child that keeps a connection to the leader and sends the queued requests.
 pub fn child<O: ControlLinkHandler>(
-    owner: O,
+    handler: O,
     id: GatewayId,
     requests: Receiver<GatewayRequest>,
 ) -> ChildSpec {
@@ -54,11 +55,11 @@
         Restart::Permanent,
         move |stop: StopSignal| {
             let mut link = Link {
-                owner: owner.clone(),
+                handler: handler.clone(),
                 id: id.clone(),
                 requests: requests.clone(),
                 position: 0,
-                in_touch: false,
+                is_connected: false,
                 connect_timeout: ConnectTimeout::default(),
                 offers: VersionOffers::default(),
             };
@@ -71,11 +72,11 @@
 }
 
 struct Link<O> {
-    owner: O,
+    handler: O,
     id: GatewayId,
     requests: Receiver<GatewayRequest>,
     position: usize,
-    in_touch: bool,
+    is_connected: bool,
     connect_timeout: ConnectTimeout,
     offers: VersionOffers,
 }
@@ -85,44 +86,46 @@
         let mut hint: Option<String> = None;
         loop {
             if let Some(address) = hint.take().or_else(|| self.next_replica()) {
-                let left = self.visit(&address).await;
-                self.note_lost(&address, &left);
-                match left {
-                    Left::NotLeader(leader) => hint = leader.filter(|leader| *leader != address),
-                    Left::OfferAgain => hint = Some(address),
-                    Left::Lost | Left::Refused => {}
+                let disconnect = self.try_replica(&address).await;
+                self.log_lost(&address, &disconnect);
+                match disconnect {
+                    Disconnect::NotLeader(leader) => {
+                        hint = leader.filter(|leader| *leader != address)
+                    }
+                    Disconnect::Reoffer => hint = Some(address),
+                    Disconnect::Lost | Disconnect::Refused => {}
                 }
             }
-            Timer::after(PAUSE).await;
+            Timer::after(RECONNECT_DELAY).await;
         }
     }
 
     fn next_replica(&mut self) -> Option<String> {
-        let replicas = self.owner.replicas();
+        let replicas = self.handler.replicas();
         self.position += 1;
         let position = self.position.checked_rem(replicas.len())?;
         replicas.get(position).cloned()
     }
 
-    /// Talks to a replica in the first version that it takes.
-    async fn visit(&mut self, address: &str) -> Left {
+    /// Connects to a replica with the first version that it accepts.
+    async fn try_replica(&mut self, address: &str) -> Disconnect {
         for _ in 0..VersionOffers::COUNT {
-            let left = self.try_version(address).await;
-            if !matches!(left, Left::Refused) {
-                return left;
+            let disconnect = self.try_version(address).await;
+            if !matches!(disconnect, Disconnect::Refused) {
+                return disconnect;
             }
             self.offers.refused();
         }
-        Left::Lost
+        Disconnect::Lost
     }
 
-    async fn try_version(&mut self, address: &str) -> Left {
+    async fn try_version(&mut self, address: &str) -> Disconnect {
         let hello = FrameSender::Gateway(self.id.clone());
         let offered = self.offers.next();
         match frames::connect(address, hello, offered, &mut self.connect_timeout).await {
             Ok((reader, writer)) => self.exchange(address, reader, writer).await,
-            Err(WireError::HelloRefused) => Left::Refused,
-            Err(_) => Left::Lost,
+            Err(WireError::HelloRefused) => Disconnect::Refused,
+            Err(_) => Disconnect::Lost,
         }
     }
 
@@ -131,9 +134,9 @@
         address: &str,
         mut reader: FrameReader,
         mut writer: FrameWriter,
-    ) -> Left {
+    ) -> Disconnect {
         let version = writer.version();
-        self.owner.on_connected(version);
+        self.handler.on_connected(version);
         let requests = self.requests.clone();
         let writing = async {
             while let Ok(request) = requests.recv().await {
@@ -141,22 +144,22 @@
                     break;
                 }
             }
-            Left::Lost
+            Disconnect::Lost
         };
         let reading = self.read(address, &mut reader);
-        let offer_again = async {
+        let reoffer = async {
             wait_to_reoffer(version).await;
-            Left::OfferAgain
+            Disconnect::Reoffer
         };
-        smol::future::or(smol::future::or(reading, writing), offer_again).await
+        smol::future::or(smol::future::or(reading, writing), reoffer).await
     }
 
-    async fn read(&mut self, address: &str, reader: &mut FrameReader) -> Left {
+    async fn read(&mut self, address: &str, reader: &mut FrameReader) -> Disconnect {
         let mut is_accepted = false;
         loop {
             let next = async { Some(reader.next().await) };
             let silence = async {
-                Timer::after(SILENCE).await;
+                Timer::after(SILENCE_TIMEOUT).await;
                 None
             };
             let next = smol::future::or(next, silence).await;
@@ -169,34 +172,34 @@
             match next {
                 Some(Ok(Some(Frame::Control(ControlReply::NotLeader { leader, last_known })))) => {
                     if let Some(configuration) = last_known {
-                        self.owner.on_last_known(configuration.value());
+                        self.handler.on_last_known(configuration.value());
                     }
-                    return Left::NotLeader(leader);
+                    return Disconnect::NotLeader(leader);
                 }
                 Some(Ok(Some(Frame::Control(reply)))) => {
-                    self.note_regained(address);
-                    self.owner.on_reply(reply);
+                    self.log_regained(address);
+                    self.handler.on_reply(reply);
                 }
-                Some(Ok(None) | Err(_)) if !is_accepted => return Left::Refused,
-                _ => return Left::Lost,
+                Some(Ok(None) | Err(_)) if !is_accepted => return Disconnect::Refused,
+                _ => return Disconnect::Lost,
             }
         }
     }
 
-    fn note_regained(&mut self, address: &str) {
-        if !self.in_touch {
+    fn log_regained(&mut self, address: &str) {
+        if !self.is_connected {
             log::info!(leader = address; "leader_regained");
         }
-        self.in_touch = true;
+        self.is_connected = true;
     }
 
-    fn note_lost(&mut self, address: &str, left: &Left) {
-        let was_in_touch = std::mem::replace(&mut self.in_touch, false);
-        if was_in_touch {
-            let cause = match left {
-                Left::NotLeader(_) => "another replica leads",
-                Left::Lost | Left::Refused => "the connection broke or was silent",
-                Left::OfferAgain => "a later version is offered",
+    fn log_lost(&mut self, address: &str, disconnect: &Disconnect) {
+        let was_connected = std::mem::replace(&mut self.is_connected, false);
+        if was_connected {
+            let cause = match disconnect {
+                Disconnect::NotLeader(_) => "the replica is not the leader",
+                Disconnect::Lost | Disconnect::Refused => "the connection failed or timed out",
+                Disconnect::Reoffer => "reconnecting to offer a later version",
             };
             log::warn!(leader = address, cause = cause; "leader_lost");
         }
--- a/components/runtime/src/frames.rs
+++ b/components/runtime/src/frames.rs
@@ -13,28 +13,29 @@
 use crate::sockets::{connect_with_timeout, set_silence_timeouts};
 
 /// Largest buffer that a connection keeps between frames.
-const KEPT_BUFFER_BYTES: usize = 32 * 1024;
-/// A connection whose bytes are not acknowledged for so long is over.
-const SILENCE: Duration = Duration::from_millis(1500);
+const MAX_KEPT_BUFFER_BYTES: usize = 32 * 1024;
+/// A connection ends when its bytes are not acknowledged for this time, or when a hello is
+/// not answered.
+const ACK_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// Reads frames.
+/// The reading half of a connection.
 pub struct FrameReader {
     frames: FramedRead<TcpStream, FrameCodec>,
 }
 
-/// Writes frames.
+/// The writing half of a connection.
 pub struct FrameWriter {
     stream: TcpStream,
     version: EncodingVersion,
     buffer: BytesMut,
 }
 
-/// Both halves of a connection that begins with a hello.
+/// Splits a connection that begins with a hello into its halves.
 pub fn split(stream: TcpStream) -> (FrameReader, FrameWriter) {
     let version = EncodingVersion::CURRENT;
-    // Latency matters more than the count of packets.
+    // Low latency is more important than a low packet count.
     let _unset = stream.set_nodelay(true);
-    set_silence_timeouts(&stream, SILENCE);
+    set_silence_timeouts(&stream, ACK_TIMEOUT);
     let reader = FrameReader {
         frames: FramedRead::new(stream.clone(), FrameCodec::new(version)),
     };
@@ -46,21 +47,21 @@
     (reader, writer)
 }
 
-/// Opens a connection and offers a version. From [`EncodingVersion::V17`] on, the version
-/// of the connection is the one that the other end answers with.
+/// Opens a connection and offers a version. From [`EncodingVersion::V17`] on, the peer
+/// answers with the version of the connection.
 ///
 /// # Errors
-/// When the address can't be reached in `time`, or the other end refuses the version.
+/// When the address can't be reached within the timeout, or the peer refuses the version.
 pub async fn connect(
     address: &str,
     sender: Sender,
     offered: EncodingVersion,
-    time: &mut ConnectTimeout,
+    connect_timeout: &mut ConnectTimeout,
 ) -> Result<(FrameReader, FrameWriter), WireError> {
-    let connected = connect_with_timeout(address, time.next()).await;
+    let connected = connect_with_timeout(address, connect_timeout.next()).await;
     match &connected {
-        Ok(_) => time.succeeded(),
-        Err(_) => time.failed(),
+        Ok(_) => connect_timeout.succeeded(),
+        Err(_) => connect_timeout.failed(),
     }
     let stream = connected?;
     let (mut reader, mut writer) = split(stream);
@@ -80,19 +81,19 @@
 }
 
 impl FrameReader {
-    /// The next frame; `None` when the other end closed the connection.
+    /// Reads the next frame; `None` when the peer has closed the connection.
     ///
     /// # Errors
-    /// When a frame is malformed or the connection broke.
+    /// When a frame is malformed or the connection failed.
     pub async fn next(&mut self) -> Result<Option<Frame>, WireError> {
         self.frames.next().await.transpose()
     }
 
-    /// Reads and checks the hello that opens a connection, whose version holds from then
+    /// Reads and checks the hello that opens a connection, and uses its version from then
     /// on.
     ///
     /// # Errors
-    /// When it is missing or of a version that is not spoken.
+    /// When the hello is missing or its version is not supported.
     pub async fn accept(&mut self) -> Result<Accepted, WireError> {
         let Some(frame) = self.next().await? else {
             return Err(WireError::NoHello);
@@ -105,14 +106,14 @@
     /// Reads the answer to a hello.
     async fn welcome(&mut self) -> Result<EncodingVersion, WireError> {
         let answer = async { Some(self.next().await) };
-        let silence = async {
-            Timer::after(SILENCE).await;
+        let timeout = async {
+            Timer::after(ACK_TIMEOUT).await;
             None
         };
-        match smol::future::or(answer, silence).await {
+        match smol::future::or(answer, timeout).await {
             Some(Ok(Some(Frame::Welcome { version }))) => Ok(version),
             Some(Ok(Some(_))) => Err(WireError::Malformed(
-                "a frame before the welcome".to_owned(),
+                "received another frame instead of the welcome".to_owned(),
             )),
             Some(Ok(None) | Err(_)) => Err(WireError::HelloRefused),
             None => Err(WireError::Io(io::ErrorKind::TimedOut.into())),
@@ -125,10 +126,10 @@
 }
 
 impl FrameWriter {
-    /// Answers the hello of an accepted connection, whose version holds from then on.
+    /// Answers the hello of an accepted connection, and uses its version from then on.
     ///
     /// # Errors
-    /// When the connection broke.
+    /// When the connection failed.
     pub async fn welcome(&mut self, accepted: &Accepted) -> Result<(), WireError> {
         let version = accepted.version;
         if accepted.awaits_welcome {
@@ -138,7 +139,7 @@
         Ok(())
     }
 
-    /// Version of the connection.
+    /// The version of the connection.
     pub fn version(&self) -> EncodingVersion {
         self.version
     }
@@ -147,16 +148,16 @@
         self.version = version;
     }
 
-    /// Sends a frame, unless the version has no place for it and does without.
+    /// Sends a frame. A frame that the version lacks and can do without is skipped.
     ///
     /// # Errors
-    /// When it can't be encoded or the connection broke.
+    /// When the frame can't be encoded or the connection failed.
     pub async fn send(&mut self, frame: Frame) -> Result<(), WireError> {
         self.buffer.clear();
         FrameCodec::new(self.version).encode(frame, &mut self.buffer)?;
         self.stream.write_all(&self.buffer).await?;
-        if self.buffer.capacity() > KEPT_BUFFER_BYTES {
-            // One large frame must not keep its memory for each connection.
+        if self.buffer.capacity() > MAX_KEPT_BUFFER_BYTES {
+            // Frees the memory of a large frame, as there may be many connections.
             self.buffer = BytesMut::new();
         }
         Ok(())
--- a/components/runtime/src/lib.rs
+++ b/components/runtime/src/lib.rs
@@ -1,8 +1,8 @@
-//! The I/O shell that the daemons share.
+//! The I/O layer shared by the daemons.
 //!
-//! Contract: one loop on one thread. Everything runs on one
-//! [`smol::LocalExecutor`]; only file syncs leave it, by [`smol::unblock`],
-//! since a sync would stop the loop (docs/design/one-loop.md).
+//! Contract: one event loop on one thread. Everything runs on one
+//! [`smol::LocalExecutor`], except file syncs, which run by [`smol::unblock`]
+//! because they would block the loop (docs/design/one-loop.md).
 
 pub mod client;
 pub mod clock;
--- a/components/runtime/src/log_limit.rs
+++ b/components/runtime/src/log_limit.rs
@@ -1,12 +1,12 @@
-//! A bound on the lines of one kind of event in a second.
+//! A rate limit on the log lines of each event.
 //!
-//! Under load some events come thousands of times a second, and their lines
-//! would cost more than the work they tell of. What is left out is counted,
-//! and the count is told when the next line of that kind is written.
+//! Under load some events occur thousands of times a second, and logging them
+//! would cost more than handling them. Suppressed lines are counted, and the
+//! next line of the same event reports the count.
 
 use std::collections::HashMap;
 
-/// Lines of one kind of event in a second.
+/// Maximum count of lines of one event in a second.
 pub const LINES_PER_SECOND: u32 = 200;
 const SECOND_MS: u64 = 1000;
 
@@ -17,26 +17,26 @@
     suppressed: u64,
 }
 
-/// Counts the lines of each kind.
+/// Counts the lines of each event.
 #[derive(Debug, Default)]
 pub struct LogLimit {
     events: HashMap<&'static str, Written>,
 }
 
-/// What becomes of a line.
+/// Whether a line is written.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
-    /// It is written, after this many of its kind were left out.
+    /// The line is written.
     Write {
-        /// Lines left out since the last one that was written.
+        /// Lines of the same event suppressed since the last one that was written.
         suppressed: u64,
     },
-    /// It is left out and counted.
+    /// The line is suppressed and counted.
     Suppress,
 }
 
 impl LogLimit {
-    /// Judges a line of `event` at a time.
+    /// Decides whether a line of `event` at `time_ms` is written.
     pub fn check(&mut self, event: &'static str, time_ms: u64) -> Verdict {
         let written = self.events.entry(event).or_default();
         let second = time_ms / SECOND_MS;
--- a/components/runtime/src/log_writer.rs
+++ b/components/runtime/src/log_writer.rs
@@ -1,8 +1,8 @@
-//! Writes log lines to standard output without ever holding up the loop.
+//! Writes log lines to standard output without blocking the event loop.
 //!
-//! Lines go through a bounded queue to a thread of their own. When the reader
-//! of the output is slow or stops, lines are left out and counted; the count
-//! is told in a line as soon as there is room again.
+//! Lines go through a bounded queue to a separate thread. When the reader of the
+//! output is slow or stops, lines are dropped and counted; the count is written
+//! as a line as soon as the queue moves again.
 
 use std::io::{self, Write};
 use std::sync::Arc;
@@ -11,28 +11,28 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Lines that wait to be written.
-const QUEUED_LINES: usize = 2048;
+/// Capacity of the queue, in lines.
+const QUEUE_CAPACITY: usize = 2048;
 
-/// The loop's side: never blocks.
+/// The event loop's end of the queue; it never blocks.
 pub struct LogWriter {
     lines: SyncSender<Vec<u8>>,
     counts: LogCounts,
 }
 
-/// How many lines wait, and how many were left out.
+/// Counts of queued and of dropped lines.
 #[derive(Debug, Clone, Default)]
 pub struct LogCounts {
-    waiting: Arc<AtomicU64>,
-    suppressed: Arc<AtomicU64>,
+    pending: Arc<AtomicU64>,
+    dropped: Arc<AtomicU64>,
 }
 
 impl LogCounts {
-    /// Waits until every line is written, up to `patience`: at the very end of
-    /// a process only, when no loop is left to hold up.
-    pub fn wait_until_written(&self, patience: Duration) {
+    /// Blocks until every line is written or `timeout` has passed. Only for the
+    /// end of a process, when the event loop no longer runs.
+    pub fn wait_until_written(&self, timeout: Duration) {
         let started = Instant::now();
-        while self.waiting.load(Ordering::Acquire) > 0 && started.elapsed() < patience {
+        while self.pending.load(Ordering::Acquire) > 0 && started.elapsed() < timeout {
             thread::sleep(Duration::from_millis(1));
         }
     }
@@ -41,14 +41,14 @@
 impl LogWriter {
     /// Starts the thread that writes to `output`.
     pub fn start(output: impl Write + Send + 'static) -> Self {
-        let (lines, queued) = sync_channel(QUEUED_LINES);
+        let (lines, queued) = sync_channel(QUEUE_CAPACITY);
         let counts = LogCounts::default();
         let counted = counts.clone();
         thread::spawn(move || write_all(output, &queued, &counted));
         LogWriter { lines, counts }
     }
 
-    /// Counts that outlive the writer.
+    /// The counts, which outlive the writer.
     pub fn counts(&self) -> LogCounts {
         self.counts.clone()
     }
@@ -56,10 +56,10 @@
 
 impl Write for LogWriter {
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
-        self.counts.waiting.fetch_add(1, Ordering::AcqRel);
+        self.counts.pending.fetch_add(1, Ordering::AcqRel);
         if self.lines.try_send(line.to_vec()).is_err() {
-            self.counts.waiting.fetch_sub(1, Ordering::AcqRel);
-            self.counts.suppressed.fetch_add(1, Ordering::Relaxed);
+            self.counts.pending.fetch_sub(1, Ordering::AcqRel);
+            self.counts.dropped.fetch_add(1, Ordering::Relaxed);
         }
         Ok(line.len())
     }
@@ -71,13 +71,13 @@
 
 fn write_all(mut output: impl Write, queued: &Receiver<Vec<u8>>, counts: &LogCounts) {
     while let Ok(line) = queued.recv() {
-        let lost = counts.suppressed.swap(0, Ordering::Relaxed);
+        let lost = counts.dropped.swap(0, Ordering::Relaxed);
         if lost > 0 {
-            // A reader that is gone takes nothing any more.
+            // Write errors are ignored: the reader of the output has gone.
             let _gone = writeln!(output, "level=warn event=log_lines_left_out count={lost}");
         }
         let _gone = output.write_all(&line);
         let _gone = output.flush();
-        counts.waiting.fetch_sub(1, Ordering::AcqRel);
+        counts.pending.fetch_sub(1, Ordering::AcqRel);
     }
 }
--- a/components/runtime/src/logging.rs
+++ b/components/runtime/src/logging.rs
@@ -1,4 +1,4 @@
-//! Logs: one line of key=value pairs for each event.
+//! Logging: one line of key=value pairs per event.
 
 use std::fmt::Write as _;
 use std::io::Write as _;
@@ -11,22 +11,22 @@
 use log::Record;
 use log::kv::{Error, Key, Value, VisitSource};
 
-/// Longest wait for the last lines of a process.
-const LAST_LINES: Duration = Duration::from_millis(300);
+/// Maximum wait for the last lines when a process ends.
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// The lines that wait, until the end of the process.
+/// Waits for the queued lines when it is dropped at the end of the process.
 #[derive(Debug)]
 pub struct LogGuard(LogCounts);
 
 impl Drop for LogGuard {
     fn drop(&mut self) {
-        self.0.wait_until_written(LAST_LINES);
+        self.0.wait_until_written(FLUSH_TIMEOUT);
     }
 }
 
-/// Starts logging to standard output, without ever holding up the loop.
+/// Starts logging to standard output without blocking the event loop.
 /// `GARNET_LOG` sets the level.
-#[must_use = "dropping it at once waits for nothing later"]
+#[must_use = "the guard must live until the end of the process to flush the last lines"]
 pub fn start(process: &str) -> LogGuard {
     let process = process.to_owned();
     let clock = crate::Clock::default();
@@ -38,7 +38,7 @@
         .target(Target::Pipe(Box::new(output)))
         .format(move |output, record| {
             let now = clock.now().0;
-            let suppressed = match judge(&limit, record, now) {
+            let suppressed = match check_limit(&limit, record, now) {
                 Verdict::Suppress => return Ok(()),
                 Verdict::Write { suppressed } => suppressed,
             };
@@ -49,20 +49,20 @@
             writeln!(output, "{line}")
         })
         .try_init();
-    // A second start in one process keeps the first logger.
+    // If logging was started before, the first logger stays.
     drop(builder);
     LogGuard(counts)
 }
 
-/// Events without a fixed name are not limited.
-fn judge(limit: &Mutex<LogLimit>, record: &Record<'_>, now: u64) -> Verdict {
+/// Applies the rate limit. Events without a fixed name are not limited.
+fn check_limit(limit: &Mutex<LogLimit>, record: &Record<'_>, now: u64) -> Verdict {
     match (record.args().as_str(), limit.lock()) {
         (Some(event), Ok(mut limit)) => limit.check(event, now),
         _ => Verdict::Write { suppressed: 0 },
     }
 }
 
-/// One line: time, level, process, event, and the event's own pairs.
+/// Formats a line: time, level, process, event, and the event's own pairs.
 pub fn format_line(time_ms: u64, process: &str, record: &Record<'_>) -> String {
     let mut line = format!(
         "time_ms={time_ms} level={} process={} event={}",
@@ -71,7 +71,7 @@
         quote(&record.args().to_string()),
     );
     let mut pairs = Pairs(&mut line);
-    // Writing to a string has no way to fail.
+    // Writing to a string can't fail.
     let _written = record.key_values().visit(&mut pairs);
     line
 }
@@ -85,7 +85,7 @@
     }
 }
 
-/// The text as it is when it is one plain word, else quoted and escaped.
+/// Returns a plain word unchanged, and other text quoted and escaped.
 fn quote(text: &str) -> String {
     let plain = |byte: u8| byte.is_ascii_alphanumeric() || b"_-.:/@+,".contains(&byte);
     if !text.is_empty() && text.bytes().all(plain) {
--- a/components/runtime/src/metrics.rs
+++ b/components/runtime/src/metrics.rs
@@ -11,9 +11,9 @@
 /// One value with its labels.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Sample {
-    /// Name without the common prefix.
+    /// Metric name without the common prefix.
     pub name: &'static str,
-    /// One sentence.
+    /// Help text, one sentence.
     pub help: &'static str,
     /// Labels.
     pub labels: Vec<(String, String)>,
@@ -22,7 +22,7 @@
 }
 
 impl Sample {
-    /// A value without labels.
+    /// Creates a sample without labels.
     pub fn new(name: &'static str, help: &'static str, value: u64) -> Self {
         Sample {
             name,
@@ -32,7 +32,7 @@
         }
     }
 
-    /// The same with one label.
+    /// Adds a label.
     #[must_use]
     pub fn label(mut self, key: &str, value: &str) -> Self {
         self.labels.push((key.to_owned(), value.to_owned()));
@@ -43,15 +43,15 @@
 /// Last line of the text format.
 const END_OF_TEXT: &str = "# EOF\n";
 
-/// The metrics of a registry as text.
+/// Encodes the metrics of a registry as text.
 pub fn encode_registry(registry: &Registry) -> String {
     let mut text = String::new();
-    // Writing to a string has no way to fail.
+    // Writing to a string can't fail.
     let _written = encode(&mut text, registry);
     text
 }
 
-/// Registers a metric and gives it back, to be counted with.
+/// Registers a metric and returns it.
 pub fn registered<M: Metric + Clone>(
     registry: &mut Registry,
     name: &str,
@@ -62,18 +62,18 @@
     metric
 }
 
-/// A count as the value of a gauge.
+/// Converts a count to the value of a gauge.
 pub fn gauge_value(count: u64) -> i64 {
     i64::try_from(count).unwrap_or(i64::MAX)
 }
 
-/// Two pages as one.
+/// Joins two pages of metrics.
 pub fn join_pages(first: &str, second: &str) -> String {
     let first = first.strip_suffix(END_OF_TEXT).unwrap_or(first);
     format!("{first}{second}")
 }
 
-/// The samples as text; samples of one name must stand together.
+/// Encodes samples as text; samples of the same name must be adjacent.
 pub fn render(samples: &[Sample]) -> String {
     let mut registry = Registry::with_prefix("garnet");
     let mut at = 0;
--- a/components/runtime/src/pool.rs
+++ b/components/runtime/src/pool.rs
@@ -1,9 +1,9 @@
-//! Kept connections to back ends, each used for one request at a time.
+//! Connection pool for requests to back ends, one request at a time per connection.
 //!
-//! Contract: a connection is used again only when the answer before was read
-//! to its proper end and nothing came after it. An [`Exchange`] that is
-//! dropped before its end closes its connection, which cancels the work at
-//! the other end. Errors say whether any byte can have reached it.
+//! Contract: a connection is reused only when the previous answer was read to
+//! its end and nothing followed it. An [`Exchange`] that is dropped before the
+//! end of its answer closes the connection, which cancels the request at the
+//! server. Errors tell whether any byte can have reached the server.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -24,21 +24,21 @@
 use crate::clock::Clock;
 use crate::sockets::{connect_with_timeout, set_silence_timeouts};
 
-/// Header by which the other end tells how long it keeps an idle connection.
+/// Header in which the server announces its idle timeout.
 const KEEP_ALIVE: &str = "keep-alive";
-/// An idle connection is left this much before the other end would close it.
+/// An idle connection is closed this long before the server would close it.
 const IDLE_MARGIN: Duration = Duration::from_millis(700);
 
-/// How connections are made and kept.
+/// Timeouts and limits of a connection pool.
 #[derive(Debug, Clone, Copy)]
 pub struct PoolSettings {
-    /// Longest time to connect.
+    /// Timeout of a connection attempt.
     pub connect_timeout: Duration,
-    /// A connection whose bytes are not acknowledged for so long is over.
+    /// A connection ends when its bytes are not acknowledged for this time.
     pub ack_timeout: Duration,
-    /// How long an idle connection is kept where the other end tells nothing.
+    /// Idle timeout of connections whose server announces none.
     pub idle_timeout: Duration,
-    /// Idle connections kept for one address.
+    /// Maximum count of idle connections to one address.
     pub idle_per_address: usize,
 }
 
@@ -60,37 +60,38 @@
     until: Millis,
 }
 
-/// Connections to any number of addresses.
+/// A pool of connections to any number of addresses.
 #[derive(Clone)]
 pub struct ConnectionPool {
     executor: Rc<LocalExecutor<'static>>,
     settings: PoolSettings,
-    /// The other end closes idle connections while this machine is suspended.
+    /// A clock that counts suspensions of this machine, as servers close idle
+    /// connections during them.
     clock: Clock,
     idle: Rc<RefCell<HashMap<String, Vec<Idle>>>>,
 }
 
-/// A request under way whose answer's head is there.
+/// A request whose answer has begun: its status and headers have arrived.
 pub struct Exchange {
-    /// Head of the answer.
+    /// Status and headers of the answer.
     pub head: Parts,
-    /// Whether the request went over a new connection.
+    /// Whether the request was sent on a new connection.
     pub fresh: bool,
     body: Incoming,
     sender: Sender,
     address: String,
-    /// Idle connections to the address that may be kept, with this one.
+    /// Maximum count of idle connections to the address, including this one.
     max_idle: usize,
     pool: ConnectionPool,
 }
 
 impl ConnectionPool {
-    /// A pool whose connections run on `executor`.
+    /// Creates a pool whose connections run on `executor`.
     pub fn new(executor: Rc<LocalExecutor<'static>>, settings: PoolSettings) -> Self {
         ConnectionPool::with_clock(executor, settings, Clock::default())
     }
 
-    /// The same with a clock by which idle connections grow old.
+    /// Creates a pool with a clock for the idle timeouts.
     pub fn with_clock(
         executor: Rc<LocalExecutor<'static>>,
         settings: PoolSettings,
@@ -104,11 +105,11 @@
         }
     }
 
-    /// Sends a request and waits for the head of its answer. A kept connection
-    /// that gives the request back unsent is left for the next one.
+    /// Sends a request and waits for the head of its answer. If an idle connection
+    /// fails before any of the request is sent, the next one is tried.
     ///
     /// # Errors
-    /// As [`HttpError`] says.
+    /// See [`HttpError`].
     pub async fn send(
         &self,
         address: &str,
@@ -118,12 +119,12 @@
         self.send_if(address, request, max_idle, || true).await
     }
 
-    /// Sends a request as [`Self::send`] does, if `may_send` holds once its connection is
-    /// there: a connection may take longer than what its sender knew stays true. At most
-    /// `max_idle` idle connections to the address are kept afterwards.
+    /// Sends a request like [`Self::send`], provided that `may_send` holds when the connection
+    /// is open, as the conditions may have changed while it was opened. At most `max_idle` idle
+    /// connections to the address are kept afterwards.
     ///
     /// # Errors
-    /// [`HttpError::Withheld`] where it does not hold, and as [`HttpError`] says.
+    /// [`HttpError::Withheld`] if `may_send` does not hold; see [`HttpError`] for the others.
     pub async fn send_if(
         &self,
         address: &str,
@@ -144,7 +145,7 @@
                     return Ok(self.exchange(address, sender, response, false, max_idle));
                 }
                 Err(mut error) => match error.take_message() {
-                    Some(unsent) => request = unsent,
+                    Some(not_sent) => request = not_sent,
                     None => return Err(HttpError::Broken(error.into_error().to_string())),
                 },
             }
@@ -157,9 +158,9 @@
         match sender.try_send_request(request).await {
             Ok(response) => Ok(self.exchange(address, sender, response, true, max_idle)),
             Err(mut error) => {
-                let unsent = error.take_message().is_some();
+                let not_sent = error.take_message().is_some();
                 let cause = error.into_error().to_string();
-                Err(if unsent {
+                Err(if not_sent {
                     HttpError::NotSent(cause)
                 } else {
                     HttpError::Broken(cause)
@@ -168,12 +169,12 @@
         }
     }
 
-    /// Leaves all idle connections to an address.
+    /// Closes all idle connections to an address.
     pub fn close_idle(&self, address: &str) {
         self.idle.borrow_mut().remove(address);
     }
 
-    /// Leaves idle connections whose time is over.
+    /// Closes the idle connections whose timeout has expired.
     pub fn close_expired(&self) {
         let now = self.clock.now();
         let mut idle = self.idle.borrow_mut();
@@ -204,9 +205,9 @@
     }
 
     async fn connect(&self, address: &str) -> Result<Sender, HttpError> {
-        let unsent = |error: std::io::Error| HttpError::NotSent(error.to_string());
+        let not_sent = |error: std::io::Error| HttpError::NotSent(error.to_string());
         let connecting = connect_with_timeout(address, self.settings.connect_timeout);
-        let stream = connecting.await.map_err(unsent)?;
+        let stream = connecting.await.map_err(not_sent)?;
         let _unset = stream.set_nodelay(true);
         set_silence_timeouts(&stream, self.settings.ack_timeout);
         let (sender, connection) = Builder::new()
@@ -214,7 +215,7 @@
             .await
             .map_err(|error| HttpError::NotSent(error.to_string()))?;
         let drive = async move {
-            // Its faults reach the requests on it.
+            // Errors of the connection are returned by the requests on it.
             let _ended = connection.await;
         };
         self.executor.spawn(drive).detach();
@@ -246,10 +247,10 @@
 }
 
 impl Exchange {
-    /// The next chunk of the body, `None` at its proper end.
+    /// Returns the next chunk of the body, or `None` after the last one.
     ///
     /// # Errors
-    /// When the connection ends before the body does.
+    /// When the connection ends before the body is complete.
     pub async fn next(&mut self) -> Result<Option<Bytes>, HttpError> {
         loop {
             match self.body.frame().await {
@@ -267,7 +268,7 @@
     /// Reads the whole body, up to `limit` bytes.
     ///
     /// # Errors
-    /// When it is longer, or the connection ends before it does.
+    /// When the body is longer, or the connection ends before it is complete.
     pub async fn read_whole(&mut self, limit: usize) -> Result<Bytes, HttpError> {
         let mut whole = Vec::new();
         while let Some(chunk) = self.next().await? {
@@ -279,20 +280,20 @@
         Ok(Bytes::from(whole))
     }
 
-    /// Whether the answer tells where it ends. One that doesn't ends with its
-    /// connection, also where its sender crashes.
+    /// Whether the headers define where the answer ends. Otherwise it ends with its
+    /// connection, and an answer cut short by a crash looks complete.
     pub fn has_explicit_end(&self) -> bool {
         let headers = &self.head.headers;
         headers.contains_key(CONTENT_LENGTH) || headers.contains_key(TRANSFER_ENCODING)
     }
 
-    /// Gives the connection back after the body's proper end.
+    /// Returns the connection to the pool after the end of the body.
     pub fn finish(self) {
-        if says_close(&self.head.headers) {
+        if announces_close(&self.head.headers) {
             return;
         }
-        let told = idle_timeout(&self.head.headers);
-        let idle_timeout = told.unwrap_or(self.pool.settings.idle_timeout);
+        let announced = idle_timeout(&self.head.headers);
+        let idle_timeout = announced.unwrap_or(self.pool.settings.idle_timeout);
         let Exchange {
             pool,
             address,
@@ -304,20 +305,20 @@
     }
 }
 
-/// Whether the other end closes the connection after this answer.
-fn says_close(headers: &HeaderMap) -> bool {
+/// Whether the server closes the connection after this answer.
+fn announces_close(headers: &HeaderMap) -> bool {
     let value = headers
         .get(CONNECTION)
         .and_then(|value| value.to_str().ok());
     value.is_some_and(|value| value.to_ascii_lowercase().contains("close"))
 }
 
-/// How long an idle connection may be used, as the other end tells it.
+/// How long an idle connection may be reused, as announced by the server.
 fn idle_timeout(headers: &HeaderMap) -> Option<Duration> {
     let value = headers.get(KEEP_ALIVE)?.to_str().ok()?;
-    let told = value
+    let announced = value
         .split(',')
-        .find_map(|part| part.trim().strip_prefix("timeout="))?;
-    let seconds: u64 = told.trim().parse().ok()?;
+        .find_map(|item| item.trim().strip_prefix("timeout="))?;
+    let seconds: u64 = announced.trim().parse().ok()?;
     Some(Duration::from_secs(seconds).saturating_sub(IDLE_MARGIN))
 }
--- a/components/runtime/src/reload.rs
+++ b/components/runtime/src/reload.rs
@@ -1,4 +1,4 @@
-//! A child that notices when settings may have changed.
+//! A child that triggers a reload of the settings.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -8,10 +8,10 @@
 use garnet_supervisor::{ChildError, ChildSpec, Restart, StopSignal};
 use smol::Timer;
 
-/// Settings may change without a signal; this often they are read anyway.
-const INTERVAL: Duration = Duration::from_secs(2);
+/// Interval of reloads without a signal, as settings may change without one.
+const RELOAD_INTERVAL: Duration = Duration::from_secs(2);
 
-/// A child that calls `reload` at each SIGHUP, and now and then.
+/// A child that calls `reload` at each SIGHUP and at a fixed interval.
 pub fn child(reload: impl Fn() + 'static) -> ChildSpec {
     let reload = Rc::new(reload);
     ChildSpec::new("reload", Restart::Permanent, move |stop: StopSignal| {
@@ -22,7 +22,7 @@
                 loop {
                     let signalled = async { signals.next().await.is_some() };
                     let later = async {
-                        Timer::after(INTERVAL).await;
+                        Timer::after(RELOAD_INTERVAL).await;
                         false
                     };
                     if smol::future::or(signalled, later).await {
--- a/components/runtime/src/server.rs
+++ b/components/runtime/src/server.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 server on the one loop.
+//! HTTP/1.1 server.
 
 use std::cell::RefCell;
 use std::convert::Infallible;
@@ -29,22 +29,22 @@
 /// Body of a response.
 pub type Body = Pin<Box<dyn hyper::body::Body<Data = Bytes, Error = BodyAborted>>>;
 
-/// The answer can't be brought to its end: its connection is closed, so that
-/// what was sent does not look whole.
+/// The answer can't be completed. Its connection is closed, so that the sent part
+/// does not look like a complete answer.
 #[derive(Debug, Display, Error, Clone, Copy, PartialEq, Eq)]
 pub enum BodyAborted {
-    /// the back end broke off
+    /// the back end did not complete the answer
     BackendDisconnected,
 }
 
-/// Bounds on what one connection may do.
+/// Limits of a request.
 #[derive(Debug, Clone, Copy)]
 pub struct Limits {
-    /// Largest body, in bytes.
+    /// Maximum size of a body, in bytes.
     pub body_bytes: usize,
-    /// Largest head, in bytes.
+    /// Maximum size of a request head, in bytes.
     pub head_bytes: usize,
-    /// Longest time until the body is whole.
+    /// Maximum time to receive the whole body.
     pub body_time: Duration,
 }
 
@@ -61,50 +61,49 @@
 /// Why a body could not be read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BodyError {
-    /// Larger than allowed.
+    /// The body exceeds the size limit.
     TooLarge,
-    /// The connection ended before it was whole.
+    /// The connection ended before the body was complete.
     CutOff,
-    /// It took too long.
+    /// The body was not received in time.
     TooSlow,
 }
 
-/// Bounds on the time of a connection where nothing else is told.
+/// Default timeouts of a connection.
 pub const DEFAULT_TIMEOUTS: ConnectionTimeouts = ConnectionTimeouts {
     head: Duration::from_secs(5),
     idle: Duration::from_secs(5),
 };
 
-/// Pause after a connection that could not be accepted.
+/// Pause after a failed accept.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
-/// Errors of connections that were ready, before the rest is left.
-const MOST_ACCEPT_ERRORS: usize = 16;
-/// A stop waits for so long, in all, for a head that is on its way: of a
-/// caller that has just connected, or of one that has sent a part. A round
-/// trip of the farthest callers and a lost packet fit into it.
-const LAST_HEAD_TIME: Duration = Duration::from_millis(500);
-
-/// An answer that was passed on no longer ago may still be on its way to its
-/// caller: a round trip of the farthest callers and two lost packets.
-const ON_ITS_WAY: Duration = Duration::from_secs(1);
-
-/// Most that is taken in of a body that is not wanted: four times the largest one
-/// that is allowed where nothing else is told.
-const MOST_DISCARDED_BYTES: usize = 16 * 1024 * 1024;
-/// Longest time to take it in: after it callers no longer wait for a first byte.
-const DISCARD_TIME: Duration = Duration::from_secs(2);
+/// Maximum count of errors while the accept queue is emptied during a stop.
+const MAX_ACCEPT_ERRORS: usize = 16;
+/// Maximum time that a stop waits for a request head from a caller that has just
+/// connected or has sent a part of it. Allows for a round trip of the farthest
+/// callers and one lost packet.
+const LAST_HEAD_TIMEOUT: Duration = Duration::from_millis(500);
+
+/// Time after its end in which an answer may not have reached its caller yet: a
+/// round trip of the farthest callers and two lost packets.
+const MAX_DELIVERY_TIME: Duration = Duration::from_secs(1);
+
+/// Maximum size read of a body that is discarded: four times the default body limit.
+const MAX_DISCARDED_BYTES: usize = 16 * 1024 * 1024;
+/// Maximum time to read a discarded body. Callers don't wait longer for a first byte.
+const DISCARD_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// A listening server.
 #[derive(Debug)]
 pub struct HttpServer {
-    /// `None` once a stop has closed it.
+    /// `None` after a stop has closed it.
     listener: RefCell<Option<TcpListener>>,
     limits: Limits,
-    times: Shared<ConnectionTimeouts>,
-    bound: Option<Arc<ConnectionLimit>>,
+    timeouts: Shared<ConnectionTimeouts>,
+    connection_limit: Option<Arc<ConnectionLimit>>,
 }
 
-/// Binds a port; the error names the address.
+/// Binds a listener; the error names the address.
 ///
 /// # Errors
 /// When the address can't be bound, such as a port that is in use.
@@ -116,8 +115,8 @@
     TcpListener::bind(address).await.map_err(named)
 }
 
-/// A server for figures. Where its port can't be had, the process goes on
-/// without them and says so.
+/// Binds a server for metrics. If its port can't be bound, this is logged and the
+/// process runs without metrics.
 pub fn bind_metrics(address: SocketAddr) -> Option<Rc<HttpServer>> {
     match smol::block_on(HttpServer::bind(address, Limits::default())) {
         Ok(server) => Some(Rc::new(server)),
@@ -129,7 +128,7 @@
 }
 
 impl HttpServer {
-    /// Listens at `address`; port 0 lets the system pick one.
+    /// Binds a server to `address`; with port 0 the system picks a port.
     ///
     /// # Errors
     /// When the address can't be bound, such as a port that is in use.
@@ -138,29 +137,29 @@
         Ok(HttpServer {
             listener: RefCell::new(Some(listener)),
             limits,
-            times: Shared::new(DEFAULT_TIMEOUTS),
-            bound: None,
+            timeouts: Shared::new(DEFAULT_TIMEOUTS),
+            connection_limit: None,
         })
     }
 
-    /// The same with bounds on time that the caller may change meanwhile.
+    /// Sets the timeouts of connections, which may change while the server runs.
     #[must_use]
-    pub fn with_timeouts(mut self, times: Shared<ConnectionTimeouts>) -> Self {
-        self.times = times;
+    pub fn with_timeouts(mut self, timeouts: Shared<ConnectionTimeouts>) -> Self {
+        self.timeouts = timeouts;
         self
     }
 
-    /// The same, which resets connections beyond a bound.
+    /// Sets a limit on open connections; connections above it are reset.
     #[must_use]
-    pub fn with_connection_limit(mut self, bound: Arc<ConnectionLimit>) -> Self {
-        self.bound = Some(bound);
+    pub fn with_connection_limit(mut self, connection_limit: Arc<ConnectionLimit>) -> Self {
+        self.connection_limit = Some(connection_limit);
         self
     }
 
-    /// The address that it listens at.
+    /// The address of the listener.
     ///
     /// # Errors
-    /// When the system does not tell, or a stop has closed the listener.
+    /// When the system can't tell it, or a stop has closed the listener.
     pub fn address(&self) -> std::io::Result<SocketAddr> {
         match &*self.listener.borrow() {
             Some(listener) => listener.local_addr(),
@@ -168,8 +167,8 @@
         }
     }
 
-    /// Serves until `stop` ends. Who has connected by then is answered, whoever
-    /// comes later is refused by the system; open requests finish.
+    /// Serves until `stop` completes. Callers that connected before are answered,
+    /// later connections are refused by the system, and open requests finish.
     pub async fn serve<H, F>(
         &self,
         executor: Rc<LocalExecutor<'static>>,
@@ -185,34 +184,34 @@
             return;
         };
         let (ended, open) = smol::channel::bounded::<()>(1);
-        let begin = |stream| {
+        let on_accept = |stream| {
             let Some((stream, counted)) = self.admit(stream) else {
                 return;
             };
-            let times = self.times.clone();
+            let timeouts = self.timeouts.clone();
             let connection =
-                serve_connection(stream, self.limits, times, handler.clone(), open.clone());
+                serve_connection(stream, self.limits, timeouts, handler.clone(), open.clone());
             let connection = async move {
                 connection.await;
                 drop(counted);
             };
             executor.spawn(connection).detach();
         };
-        accept_until(&listener, &begin, stop).await;
+        accept_until(&listener, &on_accept, stop).await;
         let open_connections = open.receiver_count() - 1;
-        let queued_connections = accept_queue(&listener, &begin).await;
+        let queued_connections = accept_queue(&listener, &on_accept).await;
         log::info!(
             listen = self.address().map(|a| a.to_string()).unwrap_or_default().as_str(),
             open_connections = open_connections,
             queued_connections = queued_connections;
             "listener_closed"
         );
-        // The kernel completes connections for as long as the socket exists;
-        // their callers would wait until the last answer here is over.
+        // The kernel completes connections as long as the socket exists; their
+        // callers would wait until the last answer has ended.
         drop(listener);
         self.listener.take();
         ended.close();
-        // Each open connection holds a receiver.
+        // Each open connection holds a receiver of the channel.
         while open.receiver_count() > 1 {
             Timer::after(Duration::from_millis(5)).await;
         }
@@ -220,11 +219,11 @@
 }
 
 impl HttpServer {
-    /// Takes a connection where no bound is reached.
+    /// Admits a connection, unless the connection limit is reached.
     fn admit(&self, stream: TcpStream) -> Option<(TcpStream, Option<OpenConnection>)> {
-        match &self.bound {
-            Some(bound) => {
-                let (stream, counted) = bound.admit(stream)?;
+        match &self.connection_limit {
+            Some(connection_limit) => {
+                let (stream, counted) = connection_limit.admit(stream)?;
                 Some((stream, Some(counted)))
             }
             None => Some((stream, None)),
@@ -232,10 +231,10 @@
     }
 }
 
-/// Begins each connection that comes until `stop` ends.
+/// Accepts connections until `stop` completes.
 async fn accept_until(
     listener: &TcpListener,
-    begin: &impl Fn(TcpStream),
+    on_accept: &impl Fn(TcpStream),
     stop: impl Future<Output = ()>,
 ) {
     let mut stop = pin!(stop);
@@ -247,8 +246,8 @@
         };
         match smol::future::or(stopped, accepted).await {
             None => return,
-            Some(Ok((stream, _))) => begin(stream),
-            // Out of file handles, for example: give the others time.
+            Some(Ok((stream, _))) => on_accept(stream),
+            // For example out of file handles: waits until others are closed.
             Some(Err(error)) => {
                 log::warn!(cause = error.to_string().as_str(); "not_accepted");
                 Timer::after(ACCEPT_PAUSE).await;
@@ -257,18 +256,18 @@
     }
 }
 
-/// Begins the connections that the kernel holds ready; gives their number.
-async fn accept_queue(listener: &TcpListener, begin: &impl Fn(TcpStream)) -> usize {
+/// Accepts the connections in the kernel's accept queue and returns their count.
+async fn accept_queue(listener: &TcpListener, on_accept: &impl Fn(TcpStream)) -> usize {
     let mut count = 0;
     let mut errors = 0;
-    while errors < MOST_ACCEPT_ERRORS {
+    while errors < MAX_ACCEPT_ERRORS {
         match smol::future::poll_once(listener.accept()).await {
             None => break,
             Some(Ok((stream, _))) => {
-                begin(stream);
+                on_accept(stream);
                 count += 1;
             }
-            // One caller has gone meanwhile, for example: others wait behind it.
+            // For example a caller has disconnected; there may be others in the queue.
             Some(Err(error)) => {
                 log::warn!(cause = error.to_string().as_str(); "not_accepted");
                 errors += 1;
@@ -281,29 +280,32 @@
 async fn serve_connection<H, F>(
     stream: TcpStream,
     limits: Limits,
-    times: Shared<ConnectionTimeouts>,
+    timeouts: Shared<ConnectionTimeouts>,
     handler: H,
     stop: Receiver<()>,
 ) where
     H: Fn(Request<Incoming>) -> F + 'static,
     F: Future<Output = Response<Body>> + 'static,
 {
-    // Latency matters more than the count of packets.
+    // Low latency is more important than a low packet count.
     let _unset = stream.set_nodelay(true);
-    let clock = ConnectionTimer::start();
-    let serving = Rc::clone(&clock);
+    let connection_timer = ConnectionTimer::start();
+    let serving = Rc::clone(&connection_timer);
     let service = service_fn(move |request| {
-        serving.request_began();
+        serving.on_request();
         let response = handler(request);
-        let clock = Rc::clone(&serving);
+        let connection_timer = Rc::clone(&serving);
         async move {
             let response = response.await;
-            Ok::<_, Infallible>(response.map(|body| TimedBody { body, clock }))
+            Ok::<_, Infallible>(response.map(|body| TimedBody {
+                body,
+                connection_timer,
+            }))
         }
     });
     let stream = TimedStream {
         stream,
-        clock: Rc::clone(&clock),
+        connection_timer: Rc::clone(&connection_timer),
     };
     let connection = hyper::server::conn::http1::Builder::new()
         .timer(SmolTimer::new())
@@ -311,47 +313,48 @@
         .max_buf_size(limits.head_bytes)
         .serve_connection(FuturesIo::new(stream), service);
     let mut connection = pin!(connection);
-    let asked_to_stop = async {
+    let stop_requested = async {
         let _closed = stop.recv().await;
-        clock.head_is_in(LAST_HEAD_TIME).await;
+        connection_timer.head_received(LAST_HEAD_TIMEOUT).await;
         true
     };
-    let overdue = async {
-        clock.overdue(&times).await;
+    let timed_out = async {
+        connection_timer.timed_out(&timeouts).await;
         false
     };
-    let asked = {
+    let stopping = {
         let finished = async {
             let ended = connection.as_mut().await;
-            note_fault(&clock, ended);
+            log_connection_error(&connection_timer, ended);
             false
         };
-        // The connection is polled first: it reads what the kernel holds for it
-        // before a limit or a stop ends it.
-        let finished = smol::future::or(finished, overdue);
-        smol::future::or(finished, asked_to_stop).await
+        // The connection is polled first, so that it reads the bytes that have
+        // arrived before a timeout or a stop ends it.
+        let finished = smol::future::or(finished, timed_out);
+        smol::future::or(finished, stop_requested).await
     };
-    if asked {
+    if stopping {
         connection.as_mut().graceful_shutdown();
         let finished = async {
             let ended = connection.await;
-            note_fault(&clock, ended);
+            log_connection_error(&connection_timer, ended);
         };
-        smol::future::or(finished, clock.overdue(&times)).await;
+        smol::future::or(finished, connection_timer.timed_out(&timeouts)).await;
     }
 }
 
-/// A fault of one connection concerns nobody else. Its caller may miss an answer
-/// that was passed on whole, which no other line tells.
-fn note_fault(clock: &ConnectionTimer, ended: hyper::Result<()>) {
+/// Logs the error of a connection. Its caller may have missed a complete answer,
+/// which no other line reports.
+fn log_connection_error(connection_timer: &ConnectionTimer, ended: hyper::Result<()>) {
     let Err(error) = ended else {
         return;
     };
-    let (phase, lasted) = clock.phase();
+    let (phase, elapsed) = connection_timer.phase();
     let source = error.source().map(ToString::to_string).unwrap_or_default();
-    // Whoever leaves or is cut while it is served has a line of its own.
-    let may_miss = phase == Phase::Resting && lasted < ON_ITS_WAY && !error.is_user();
-    let level = if may_miss {
+    // A caller that disconnects or is cut off while it is served is logged elsewhere.
+    let may_be_undelivered =
+        phase == Phase::Idle && elapsed < MAX_DELIVERY_TIME && !error.is_user();
+    let level = if may_be_undelivered {
         log::Level::Info
     } else {
         log::Level::Debug
@@ -359,7 +362,7 @@
     log::log!(
         level,
         phase = phase.as_str(),
-        for_ms = lasted.as_millis() as u64,
+        for_ms = elapsed.as_millis() as u64,
         error = error.to_string().as_str(),
         cause = source.as_str();
         "caller_connection_failed"
@@ -369,7 +372,7 @@
 /// Reads a whole body within the limits.
 ///
 /// # Errors
-/// As [`BodyError`] says.
+/// See [`BodyError`].
 pub async fn read_body(mut body: Incoming, limits: &Limits) -> Result<Bytes, BodyError> {
     let read = async { Some(collect(&mut body, limits.body_bytes).await) };
     let late = async {
@@ -383,14 +386,14 @@
     read.unwrap_or(Err(BodyError::TooSlow))
 }
 
-async fn collect(body: &mut Incoming, most_bytes: usize) -> Result<Bytes, BodyError> {
+async fn collect(body: &mut Incoming, max_bytes: usize) -> Result<Bytes, BodyError> {
     let mut whole = Vec::new();
     while let Some(frame) = body.frame().await {
         let frame = frame.map_err(|_| BodyError::CutOff)?;
         let Ok(data) = frame.into_data() else {
             continue;
         };
-        if whole.len() + data.len() > most_bytes {
+        if whole.len() + data.len() > max_bytes {
             return Err(BodyError::TooLarge);
         }
         whole.extend_from_slice(&data);
@@ -398,50 +401,49 @@
     Ok(Bytes::from(whole))
 }
 
-/// Takes in what a caller still sends of a body that is not wanted, within
-/// bounds. A connection that is closed with bytes unread is reset, and the reset
-/// overtakes the answer.
+/// Reads and discards the rest of a body, within limits. Closing a connection
+/// with unread bytes resets it, and the reset would overtake the answer.
 pub async fn discard_body(mut body: Incoming) {
     let discarding = async {
-        let mut left = MOST_DISCARDED_BYTES;
+        let mut remaining = MAX_DISCARDED_BYTES;
         while let Some(Ok(frame)) = body.frame().await {
             let bytes = frame.data_ref().map_or(0, Bytes::len);
-            left = left.saturating_sub(bytes);
-            if left == 0 {
+            remaining = remaining.saturating_sub(bytes);
+            if remaining == 0 {
                 return;
             }
         }
     };
     let late = async {
-        Timer::after(DISCARD_TIME).await;
+        Timer::after(DISCARD_TIMEOUT).await;
     };
     smol::future::or(discarding, late).await;
 }
 
-/// A body that is there as a whole.
+/// Creates a body from bytes.
 pub fn bytes_body(bytes: impl Into<Bytes>) -> Body {
     let whole = Full::new(bytes.into());
     Box::pin(whole.map_err(|never| match never {}))
 }
 
-/// A body whose chunks come through a channel; it ends when the channel closes.
+/// Creates a body from a channel of chunks; it ends when the channel closes.
 pub fn channel_body(chunks: Receiver<Bytes>) -> Body {
     let frames = chunks.map(|chunk| Ok(Frame::data(chunk)));
     Box::pin(StreamBody::new(frames))
 }
 
-/// A body whose chunks come from a stream, which may break off.
+/// Creates a body from a stream of chunks, which may fail.
 pub fn stream_body(chunks: impl Stream<Item = Result<Bytes, BodyAborted>> + 'static) -> Body {
     Box::pin(StreamBody::new(chunks.map(|chunk| chunk.map(Frame::data))))
 }
 
-/// A response with a JSON body.
+/// Creates a response with a JSON body.
 pub fn json_response(status: u16, body: &impl serde::Serialize) -> Response<Body> {
     let bytes = serde_json::to_vec(body).unwrap_or_default();
     with_type(status, "application/json", bytes)
 }
 
-/// A response with a text body.
+/// Creates a response with a text body.
 pub fn text_response(status: u16, text: impl Into<String>) -> Response<Body> {
     with_type(
         status,
@@ -450,7 +452,7 @@
     )
 }
 
-/// A response with a body of the given type.
+/// Creates a response with a body of the given type.
 pub fn with_type(status: u16, content_type: &str, bytes: Vec<u8>) -> Response<Body> {
     let mut response = Response::new(bytes_body(bytes));
     *response.status_mut() = StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_GATEWAY);
@@ -458,7 +460,7 @@
     response
 }
 
-/// Sets a header; a value that is no header value is left out.
+/// Sets a header. Does nothing if the value is not a valid header value.
 pub fn set_header(response: &mut Response<Body>, name: &'static str, value: &str) {
     if let Ok(value) = value.parse() {
         response.headers_mut().insert(name, value);
--- a/components/runtime/src/shared.rs
+++ b/components/runtime/src/shared.rs
@@ -1,10 +1,10 @@
-//! A value that several tasks of one loop share, and that settings which are
-//! read again may replace.
+//! A value shared by several tasks of one event loop, which a reload of the
+//! settings may replace.
 
 use std::cell::RefCell;
 use std::rc::Rc;
 
-/// The value; its clones are the same one.
+/// A shared value; clones refer to the same value.
 #[derive(Debug, Default)]
 pub struct Shared<T>(Rc<RefCell<T>>);
 
@@ -15,17 +15,17 @@
 }
 
 impl<T: Clone> Shared<T> {
-    /// Starts with a value.
+    /// Creates a shared value.
     pub fn new(value: T) -> Self {
         Shared(Rc::new(RefCell::new(value)))
     }
 
-    /// Replaces the value for all.
+    /// Replaces the value for all clones.
     pub fn replace(&self, value: T) {
         *self.0.borrow_mut() = value;
     }
 
-    /// The value as it stands.
+    /// Returns a copy of the current value.
     pub fn current(&self) -> T {
         self.0.borrow().clone()
     }
--- a/components/runtime/src/shell.rs
+++ b/components/runtime/src/shell.rs
@@ -1,4 +1,4 @@
-//! A process: one loop, one supervisor tree, one planned stop.
+//! A process: one event loop, one supervisor tree, one planned stop.
 
 use std::cell::RefCell;
 use std::future::Future;
@@ -17,14 +17,14 @@
 use serde::de::DeserializeOwned;
 use smol::LocalExecutor;
 
-/// The loop of the process and its clock.
+/// The event loop of the process and its clock.
 #[derive(Clone)]
 pub struct Shell {
-    /// The loop.
+    /// The event loop.
     pub executor: Rc<LocalExecutor<'static>>,
     /// The clock.
     pub clock: Clock,
-    /// Signals, from the start of the process on, until the loop runs.
+    /// Signals received before the event loop runs.
     signals: Rc<RefCell<Option<WatchedSignals>>>,
 }
 
@@ -35,8 +35,8 @@
 }
 
 impl Shell {
-    /// A loop that nothing runs on yet. From here on signals are kept for it;
-    /// make it before anything that may take long.
+    /// Creates an event loop and starts to watch for signals. Call it before
+    /// anything that may take long, so that no signal is lost.
     pub fn new() -> Self {
         let signals = WatchedSignals::watch();
         if let Err(error) = &signals {
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Whether a planned stop was asked for before the loop runs.
+    /// Whether a planned stop was requested before the event loop runs.
     pub fn stop_was_requested(&self) -> bool {
         let mut signals = self.signals.borrow_mut();
         signals
@@ -61,7 +61,7 @@
     /// awaited before they are stopped.
     ///
     /// # Errors
-    /// When a child failed too often.
+    /// When a child fails too often.
     pub fn run(
         &self,
         children: Vec<ChildSpec>,
@@ -80,7 +80,7 @@
         let waiter = self.executor.spawn(async move {
             match signals {
                 Some(mut signals) => signals.stop_requested().await,
-                // Nobody can ask.
+                // Signals can't be watched, so no stop can be requested.
                 None => std::future::pending().await,
             }
             drain.await;
@@ -91,8 +91,8 @@
         outcome.map_err(io::Error::other)
     }
 
-    /// A child that serves HTTP. The server is bound before, so that a port
-    /// in use is known at once.
+    /// A child that serves HTTP. The server is already bound, so that a port in
+    /// use is detected at start-up.
     pub fn http_child<H, F>(&self, server: Rc<HttpServer>, handler: H) -> ChildSpec
     where
         H: Fn(Request<Incoming>) -> F + Clone + 'static,
@@ -113,7 +113,7 @@
     }
 }
 
-/// Binds the server and says where in the log.
+/// Binds a server and logs its address.
 ///
 /// # Errors
 /// When the address can't be bound, such as a port that is in use.
@@ -127,7 +127,7 @@
 /// Reads a JSON body.
 ///
 /// # Errors
-/// The response that says what is wrong with it.
+/// A response that describes what is wrong with the body.
 pub async fn read_json<T: DeserializeOwned>(
     request: Request<Incoming>,
 ) -> Result<T, Response<Body>> {
--- a/components/runtime/src/signal.rs
+++ b/components/runtime/src/signal.rs
@@ -1,23 +1,23 @@
-//! The signals that ask for a planned stop, or to read the settings again.
+//! Signals that request a planned stop or a reload of the settings.
 
 use std::io;
 
 use async_signal::{Signal, Signals};
 use futures_lite::StreamExt;
 
-/// Signals are watched while this value lives, from its making on: unwatched,
-/// each of them ends the process.
+/// Watches the signals while it exists. An unwatched signal would end the
+/// process.
 #[derive(Debug)]
 pub struct WatchedSignals {
     stops: Signals,
     has_stopped: bool,
-    /// Kept so that SIGHUP does no harm; who reloads watches on its own, and
-    /// reads the settings at its start.
+    /// Held so that SIGHUP does not end the process. The reload child watches
+    /// SIGHUP itself, and settings are read when it starts.
     _reloads: Signals,
 }
 
 impl WatchedSignals {
-    /// Watches from now on.
+    /// Starts to watch the signals.
     ///
     /// # Errors
     /// When the signals can't be watched.
@@ -29,7 +29,7 @@
         })
     }
 
-    /// Waits for SIGTERM or SIGINT, also for one that came before.
+    /// Waits for SIGTERM or SIGINT, including one already received.
     pub async fn stop_requested(&mut self) {
         if !self.has_stopped {
             self.stops.next().await;
@@ -37,9 +37,9 @@
         }
     }
 
-    /// Whether one of these has come.
+    /// Whether SIGTERM or SIGINT was received.
     pub fn stop_was_requested(&mut self) -> bool {
-        let looking = smol::future::poll_once(self.stop_requested());
-        smol::block_on(looking).is_some()
+        let poll = smol::future::poll_once(self.stop_requested());
+        smol::block_on(poll).is_some()
     }
 }
--- a/components/runtime/src/timers.rs
+++ b/components/runtime/src/timers.rs
@@ -1,8 +1,9 @@
-//! Waiting for a moment of the process's clock.
+//! Timers that wait for a time of the process's clock.
 //!
-//! Timers of the loop stand still while the machine is suspended, and the clock
-//! does not: what is due would be late by the time of the suspension. Whoever
-//! ticks looks for one, and all who wait look at the clock again.
+//! Timers of the event loop stop while the machine is suspended, but the clock
+//! does not, so they would fire late by the duration of the suspension. A
+//! periodic task checks for suspensions, and all waiting tasks then read the
+//! clock again.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -14,9 +15,9 @@
 
 use crate::clock::{Clock, TimeSource};
 
-/// A difference of the clocks below this is no suspension: they are not read
-/// in the same moment.
-const SHORTEST_SUSPENSION: Duration = Duration::from_millis(20);
+/// A smaller difference of the clocks is no suspension, as they are not read at
+/// the same moment.
+const MIN_SUSPENSION: Duration = Duration::from_millis(20);
 
 /// The timers of a process.
 #[derive(Debug, Clone)]
@@ -25,61 +26,62 @@
 #[derive(Debug)]
 struct Inner {
     clock: Clock,
-    steady: TimeSource,
-    /// How far the clock was ahead of the steady one at the last look.
-    ahead: Cell<Duration>,
-    woke: Event,
+    monotonic: TimeSource,
+    /// Lead of the clock over the monotonic one at the last check.
+    lead: Cell<Duration>,
+    resumed: Event,
 }
 
 impl Timers {
-    /// Timers by `clock`, whose suspensions show against the steady one.
+    /// Creates timers of `clock`, compared with the monotonic clock to detect
+    /// suspensions.
     pub fn new(clock: Clock) -> Self {
-        Timers::with_monotonic(clock, TimeSource::Monotonic)
+        Timers::with_monotonic(clock, TimeSource::MonotonicTime)
     }
 
-    /// The same with another steady source.
-    pub fn with_monotonic(clock: Clock, steady: TimeSource) -> Self {
+    /// Creates timers with another monotonic source.
+    pub fn with_monotonic(clock: Clock, monotonic: TimeSource) -> Self {
         let inner = Inner {
             clock,
-            steady,
-            ahead: Cell::default(),
-            woke: Event::new(),
+            monotonic,
+            lead: Cell::default(),
+            resumed: Event::new(),
         };
-        inner.ahead.set(inner.ahead_now());
+        inner.lead.set(inner.current_lead());
         Timers(Rc::new(inner))
     }
 
-    /// Ends at the moment `due`, or as soon as the loop runs after it.
+    /// Waits until `due`, or until the event loop first runs after it.
     pub async fn sleep_until(&self, due: Millis) {
         loop {
-            let woke = self.0.woke.listen();
-            let left = due.since(self.0.clock.now());
-            if left == Millis::ZERO {
+            let resumed = self.0.resumed.listen();
+            let remaining = due.since(self.0.clock.now());
+            if remaining == Millis::ZERO {
                 return;
             }
             let timer = async {
-                Timer::after(Duration::from_millis(left.0)).await;
+                Timer::after(Duration::from_millis(remaining.0)).await;
             };
-            smol::future::or(timer, woke).await;
+            smol::future::or(timer, resumed).await;
         }
     }
 
-    /// Looks whether the machine was suspended since the last look, and for how
-    /// long. All who wait look at the clock again then.
+    /// Returns for how long the machine was suspended since the last check, if it
+    /// was, and makes all waiting tasks read the clock again.
     pub fn check_suspension(&self) -> Option<Duration> {
-        let ahead = self.0.ahead_now();
-        let suspended = ahead.saturating_sub(self.0.ahead.replace(ahead));
-        if suspended < SHORTEST_SUSPENSION {
+        let lead = self.0.current_lead();
+        let suspended = lead.saturating_sub(self.0.lead.replace(lead));
+        if suspended < MIN_SUSPENSION {
             return None;
         }
-        self.0.woke.notify(usize::MAX);
+        self.0.resumed.notify(usize::MAX);
         Some(suspended)
     }
 }
 
 impl Inner {
-    fn ahead_now(&self) -> Duration {
+    fn current_lead(&self) -> Duration {
         let counted = self.clock.source().elapsed();
-        counted.saturating_sub(self.steady.elapsed())
+        counted.saturating_sub(self.monotonic.elapsed())
     }
 }
--- a/components/runtime/tests/bounded_logs.rs
+++ b/components/runtime/tests/bounded_logs.rs
@@ -1,4 +1,4 @@
-//! Logs are bounded and never hold up who writes them.
+//! Logs are rate-limited and never block their writer.
 
 use std::io::{self, Write};
 use std::sync::mpsc::{Receiver, Sender, channel};
@@ -10,16 +10,16 @@
 
 type Written = Arc<Mutex<Vec<u8>>>;
 
-/// An output whose reader has stopped until it is let go on.
-struct Stopped {
-    go_on: Receiver<()>,
+/// An output whose reader is blocked until it is released.
+struct BlockedOutput {
+    released: Receiver<()>,
     written: Written,
 }
 
-impl Write for Stopped {
+impl Write for BlockedOutput {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         // Ends when the sender is dropped.
-        let _gone = self.go_on.recv();
+        let _gone = self.released.recv();
         let mut written = self.written.lock().expect("no panic");
         written.extend_from_slice(bytes);
         Ok(bytes.len())
@@ -30,43 +30,43 @@
     }
 }
 
-fn stopped() -> (Stopped, Sender<()>, Written) {
-    let (let_go, go_on) = channel();
+fn blocked_output() -> (BlockedOutput, Sender<()>, Written) {
+    let (release, released) = channel();
     let written = Written::default();
-    let output = Stopped {
-        go_on,
+    let output = BlockedOutput {
+        released,
         written: Arc::clone(&written),
     };
-    (output, let_go, written)
+    (output, release, written)
 }
 
 #[test]
-fn a_reader_that_stops_holds_nobody_up_and_what_is_left_out_is_counted() {
-    let (output, let_go, written) = stopped();
+fn a_blocked_reader_does_not_block_the_writer_and_dropped_lines_are_counted() {
+    let (output, release, written) = blocked_output();
     let mut writer = LogWriter::start(output);
     let counts = writer.counts();
-    // It would never come to its end if one write waited for the reader.
+    // The loop would never end if one write waited for the reader.
     for line in 0..10_000 {
         let text = format!("event=line number={line}\n");
         writer.write_all(text.as_bytes()).expect("never an error");
     }
-    drop(let_go);
+    drop(release);
     counts.wait_until_written(Duration::from_secs(60));
     writer.write_all(b"event=last\n").expect("never an error");
     counts.wait_until_written(Duration::from_secs(60));
     let text = String::from_utf8(written.lock().expect("no panic").clone()).expect("text");
     let lines = text.matches("event=line ").count();
-    let told: usize = text
+    let dropped: usize = text
         .lines()
         .filter_map(|line| line.split_once("event=log_lines_left_out count="))
         .filter_map(|(_, count)| count.parse::<usize>().ok())
         .sum();
-    assert_eq!(lines + told, 10_000);
-    assert!(told > 0 && text.ends_with("event=last\n"));
+    assert_eq!(lines + dropped, 10_000);
+    assert!(dropped > 0 && text.ends_with("event=last\n"));
 }
 
 #[test]
-fn each_kind_of_event_has_its_own_bound_in_a_second() {
+fn each_event_has_its_own_limit_per_second() {
     let mut limit = LogLimit::default();
     let mut written = 0;
     for _ in 0..LINES_PER_SECOND + 50 {
--- a/components/runtime/tests/clock.rs
+++ b/components/runtime/tests/clock.rs
@@ -1,4 +1,4 @@
-//! The clock of a process, and what goes by it.
+//! The clock of a process, and the timers and timeouts that depend on it.
 
 use std::io::{Read, Write};
 use std::net::TcpListener;
@@ -12,37 +12,37 @@
 use garnet_types::Millis;
 use smol::LocalExecutor;
 
-/// A machine may be suspended for seconds. The steady clock stands still then,
-/// and the time of day goes on. A leader that went by the steady clock took its
-/// lease for valid when it woke, and two replicas held a lease at once
-/// (`OneLease`, in virtual time); it also lagged behind the time of day for
-/// ever, by which claims and windows of usage are told.
+/// Guards against clocks that stop while the machine is suspended, as the
+/// monotonic clock does. A leader with such a clock still took its lease for
+/// valid when it resumed, so that two replicas held a lease at once (`OneLease`,
+/// in virtual time). Its clock also stayed behind the time of day, on which
+/// claims and usage windows are based.
 #[test]
-fn processes_go_by_a_clock_that_counts_suspended_time() {
+fn processes_use_a_clock_that_counts_suspended_time() {
     assert!(matches!(Clock::default().source(), TimeSource::BootTime));
 }
 
-/// What a test says that the clock of a suspended machine shows.
+/// The time of the test's clock that counts suspensions.
 static COUNTED_MS: AtomicU64 = AtomicU64::new(0);
 
 fn counted() -> Duration {
     Duration::from_millis(COUNTED_MS.load(Ordering::SeqCst))
 }
 
-fn stands_still() -> Duration {
+fn stopped() -> Duration {
     Duration::ZERO
 }
 
-/// A machine that was suspended for so long.
+/// Simulates a suspension of the machine.
 fn suspend_for(time: Duration) {
     COUNTED_MS.fetch_add(time.as_millis() as u64, Ordering::SeqCst);
 }
 
-/// The steady timer would fire in an hour.
+/// The monotonic timer alone would fire after an hour of running time.
 #[test]
-fn what_is_due_when_the_machine_wakes_is_not_waited_for() {
+fn a_timer_that_expired_during_a_suspension_fires_at_once() {
     let clock = Clock::new(TimeSource::Custom(counted));
-    let timers = Timers::with_monotonic(clock, TimeSource::Custom(stands_still));
+    let timers = Timers::with_monotonic(clock, TimeSource::Custom(stopped));
     let due = clock.now() + Millis::from_secs(3600);
     smol::block_on(async {
         let mut waits = pin!(timers.sleep_until(due));
@@ -58,14 +58,14 @@
     });
 }
 
-static KEPT_MS: AtomicU64 = AtomicU64::new(0);
+static POOL_CLOCK_MS: AtomicU64 = AtomicU64::new(0);
 
-fn kept() -> Duration {
-    Duration::from_millis(KEPT_MS.load(Ordering::SeqCst))
+fn pool_clock() -> Duration {
+    Duration::from_millis(POOL_CLOCK_MS.load(Ordering::SeqCst))
 }
 
-/// Answers requests on each connection and keeps it.
-fn keeps_connections() -> String {
+/// Starts a server that answers requests and keeps its connections open.
+fn start_server() -> String {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address").to_string();
     std::thread::spawn(move || {
@@ -82,14 +82,14 @@
     address
 }
 
-/// The other end has closed it long ago, and what is sent on it may have run.
+/// The server has closed it long ago, and a request that fails on it may have run.
 #[test]
-fn a_connection_that_rested_through_a_suspension_is_not_used() {
-    let address = keeps_connections();
+fn a_connection_idle_during_a_suspension_is_not_reused() {
+    let address = start_server();
     let executor = Rc::new(LocalExecutor::new());
-    let clock = Clock::new(TimeSource::Custom(kept));
+    let clock = Clock::new(TimeSource::Custom(pool_clock));
     let pool = ConnectionPool::with_clock(Rc::clone(&executor), PoolSettings::default(), clock);
-    let asks_anew = async || {
+    let uses_new_connection = async || {
         let request = get_request("/");
         let mut exchange = pool.send(&address, request).await.expect("an answer");
         exchange.read_whole(10).await.expect("its body");
@@ -98,9 +98,9 @@
         fresh
     };
     smol::block_on(executor.run(async {
-        assert!(asks_anew().await);
-        assert!(!asks_anew().await);
-        KEPT_MS.fetch_add(10_000, Ordering::SeqCst);
-        assert!(asks_anew().await);
+        assert!(uses_new_connection().await);
+        assert!(!uses_new_connection().await);
+        POOL_CLOCK_MS.fetch_add(10_000, Ordering::SeqCst);
+        assert!(uses_new_connection().await);
     }));
 }
--- a/components/runtime/tests/connect_timeout.rs
+++ b/components/runtime/tests/connect_timeout.rs
@@ -1,18 +1,18 @@
-//! Waits for connections grow while nothing answers.
+//! Connect timeouts grow while attempts fail.
 
 use std::time::Duration;
 
 use garnet_runtime::ConnectTimeout;
 
 #[test]
-fn waits_grow_up_to_a_bound_and_begin_anew() {
-    let mut time = ConnectTimeout::default();
-    let mut waits = Vec::new();
+fn timeouts_grow_up_to_a_limit_and_are_reset() {
+    let mut timeout = ConnectTimeout::default();
+    let mut timeouts = Vec::new();
     for _ in 0..4 {
-        waits.push(time.next());
-        time.failed();
+        timeouts.push(timeout.next());
+        timeout.failed();
     }
-    assert_eq!(waits, [125, 250, 500, 500].map(Duration::from_millis));
-    time.succeeded();
-    assert_eq!(time.next(), Duration::from_millis(125));
+    assert_eq!(timeouts, [125, 250, 500, 500].map(Duration::from_millis));
+    timeout.succeeded();
+    assert_eq!(timeout.next(), Duration::from_millis(125));
 }
--- a/components/runtime/tests/connection_timeouts.rs
+++ b/components/runtime/tests/connection_timeouts.rs
@@ -1,5 +1,4 @@
-//! Connections of callers that rest, or send a head slowly, as the limits in
-//! force say.
+//! Timeouts of callers' connections that are idle or send a request head slowly.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -11,32 +10,32 @@
 use smol::{LocalExecutor, Timer};
 
 const SHORT: Duration = Duration::from_millis(30);
-/// Nothing here takes so long.
+/// Longer than any test.
 const LONG: Duration = Duration::from_secs(60);
-/// What the handler takes: longer than every short limit.
+/// Duration of the handler: longer than the short timeout.
 const WORK: Duration = Duration::from_millis(120);
 
 const REQUEST: &[u8] = b"GET /work HTTP/1.1\r\nhost: a\r\n\r\n";
 
-/// Serves with these limits, which change to `later` with the first request,
-/// while `caller` runs.
+/// Runs `caller` against a server with the timeouts `first`, which change to
+/// `later` with the first request.
 fn serve<T: Send + 'static>(
     first: ConnectionTimeouts,
     later: ConnectionTimeouts,
     caller: impl FnOnce(SocketAddr) -> T + Send + 'static,
 ) -> T {
     let executor = Rc::new(LocalExecutor::new());
-    let times = Shared::new(first);
+    let timeouts = Shared::new(first);
     let any_port = "127.0.0.1:0".parse().expect("an address");
     let server = smol::block_on(HttpServer::bind(any_port, Limits::default())).expect("a port");
-    let server = server.with_timeouts(times.clone());
+    let server = server.with_timeouts(timeouts.clone());
     let address = server.address().expect("an address");
     let (done_in, done) = smol::channel::bounded(1);
     thread::spawn(move || {
         let _received = done_in.send_blocking(caller(address));
     });
     let handler = move |_| {
-        times.replace(later);
+        timeouts.replace(later);
         async {
             Timer::after(WORK).await;
             text_response(200, "done")
@@ -57,56 +56,58 @@
     stream
 }
 
-/// Reads until the other end closes.
-fn rest_of(mut stream: TcpStream) -> String {
+/// Reads until the server closes the connection.
+fn read_to_close(mut stream: TcpStream) -> String {
     let mut text = String::new();
     stream.read_to_string(&mut text).expect("a proper end");
     text
 }
 
 #[test]
-fn a_connection_that_rests_too_long_is_closed() {
-    let times = ConnectionTimeouts {
+fn a_connection_that_is_idle_too_long_is_closed() {
+    let timeouts = ConnectionTimeouts {
         head: LONG,
         idle: SHORT,
     };
-    let heard = serve(times, times, |address| rest_of(connect(address)));
-    assert_eq!(heard, "");
+    let received = serve(timeouts, timeouts, |address| {
+        read_to_close(connect(address))
+    });
+    assert_eq!(received, "");
 }
 
 #[test]
-fn a_head_that_comes_too_slowly_ends_its_connection() {
-    let times = ConnectionTimeouts {
+fn a_head_that_arrives_too_slowly_ends_its_connection() {
+    let timeouts = ConnectionTimeouts {
         head: SHORT,
         idle: LONG,
     };
-    let heard = serve(times, times, |address| {
+    let received = serve(timeouts, timeouts, |address| {
         let mut stream = connect(address);
         stream.write_all(b"GET /work HT").expect("written");
-        rest_of(stream)
+        read_to_close(stream)
     });
-    assert_eq!(heard, "");
+    assert_eq!(received, "");
 }
 
 #[test]
-fn an_answer_may_take_longer_than_both_and_the_rest_counts_from_its_end() {
-    let times = ConnectionTimeouts {
+fn an_answer_may_exceed_both_timeouts_and_the_idle_time_counts_from_its_end() {
+    let timeouts = ConnectionTimeouts {
         head: SHORT,
         idle: SHORT,
     };
-    let heard = serve(times, times, |address| {
+    let received = serve(timeouts, timeouts, |address| {
         let mut stream = connect(address);
         stream.write_all(REQUEST).expect("written");
-        rest_of(stream)
+        read_to_close(stream)
     });
     assert!(
-        heard.starts_with("HTTP/1.1 200") && heard.ends_with("done"),
-        "{heard}"
+        received.starts_with("HTTP/1.1 200") && received.ends_with("done"),
+        "{received}"
     );
 }
 
 #[test]
-fn limits_that_change_hold_for_connections_that_are_open() {
+fn changed_timeouts_apply_to_open_connections() {
     let first = ConnectionTimeouts {
         head: LONG,
         idle: LONG,
@@ -115,10 +116,10 @@
         head: LONG,
         idle: SHORT,
     };
-    let heard = serve(first, later, |address| {
+    let received = serve(first, later, |address| {
         let mut stream = connect(address);
         stream.write_all(REQUEST).expect("written");
-        rest_of(stream)
+        read_to_close(stream)
     });
-    assert!(heard.ends_with("done"), "{heard}");
+    assert!(received.ends_with("done"), "{received}");
 }
--- a/components/runtime/tests/planned_stop.rs
+++ b/components/runtime/tests/planned_stop.rs
@@ -1,15 +1,13 @@
-//! An operator saw requests end without an answer while gateways were stopped
-//! and started. The kernel completes a connection before the process accepts
-//! it, and takes its request in. A server that was asked to stop accepted
-//! nobody any more and yet kept its listening socket until the last answer
-//! under way was over: whoever connected meanwhile waited for nothing and was
-//! reset when the process ended. So was who had connected before, while the
-//! loop was busy with others.
+//! Guards against requests that end without an answer while a gateway stops.
+//! The kernel completes a connection and buffers its request before the process
+//! accepts it. A stopping server accepted no more connections but kept its
+//! listening socket until the last answer in flight had ended. Callers that
+//! connected meanwhile, or just before while the event loop was busy, waited and
+//! were reset when the process ended.
 //!
-//! A soak on processes settled it: of 1,793 calls 99 ended so, each on a new
-//! connection, 2.4 s or more after SIGTERM, unknown to every engine, and the
-//! gateways said of their listeners at their ends
-//! `open_connections=9 unheard_connections=15`.
+//! In a soak on processes 99 of 1,793 calls ended so, each on a new connection,
+//! 2.4 s or more after SIGTERM and unknown to every engine; the gateways logged
+//! `open_connections=9 unheard_connections=15` when they ended.
 
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -23,9 +21,9 @@
 use smol::LocalExecutor;
 use smol::channel::bounded;
 
-/// An answer that takes so long never comes.
-const HANGS: Duration = Duration::from_secs(2);
-/// Callers that come at a bad moment.
+/// An answer that takes longer than this is missing.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
+/// Count of callers that connect during the stop.
 const CALLERS: usize = 3;
 
 fn bind() -> (HttpServer, SocketAddr) {
@@ -35,25 +33,25 @@
     (server, address)
 }
 
-fn ask(address: SocketAddr, path: &str) -> io::Result<TcpStream> {
+fn send_request(address: SocketAddr, path: &str) -> io::Result<TcpStream> {
     let mut stream = TcpStream::connect(address)?;
-    stream.set_read_timeout(Some(HANGS))?;
+    stream.set_read_timeout(Some(ANSWER_TIMEOUT))?;
     write!(stream, "GET {path} HTTP/1.1\r\nhost: a\r\n\r\n")?;
     Ok(stream)
 }
 
-/// Everything up to the end of the connection.
-fn answer(mut stream: TcpStream) -> io::Result<String> {
+/// Reads up to the end of the connection.
+fn read_answer(mut stream: TcpStream) -> io::Result<String> {
     let mut text = String::new();
     stream.read_to_string(&mut text)?;
     Ok(text)
 }
 
 #[test]
-fn who_waits_in_the_queue_when_the_stop_comes_is_answered() {
+fn callers_in_the_accept_queue_at_the_stop_are_answered() {
     let (server, address) = bind();
     let waiting: Vec<TcpStream> = (0..CALLERS)
-        .map(|_| ask(address, "/work").expect("the kernel accepts"))
+        .map(|_| send_request(address, "/work").expect("the kernel accepts"))
         .collect();
     let executor = Rc::new(LocalExecutor::new());
     let handler = |_| async { text_response(200, "done") };
@@ -61,7 +59,7 @@
     smol::block_on(executor.run(serving));
     drop(server);
     for stream in waiting {
-        let text = answer(stream).expect("a proper end");
+        let text = read_answer(stream).expect("a proper end");
         assert!(
             text.starts_with("HTTP/1.1 200") && text.ends_with("done"),
             "{text}"
@@ -70,7 +68,7 @@
 }
 
 #[test]
-fn who_comes_while_the_last_answer_is_under_way_need_not_wait_for_its_end() {
+fn callers_that_connect_while_the_last_answer_is_in_flight_do_not_wait_for_its_end() {
     let (server, address) = bind();
     let executor = Rc::new(LocalExecutor::new());
     let (begun_in, begun) = bounded::<()>(1);
@@ -88,21 +86,21 @@
         }
     };
     let caller = thread::spawn(move || {
-        let slow = ask(address, "/slow").expect("a connection");
+        let slow = send_request(address, "/slow").expect("a connection");
         begun
             .recv_blocking()
-            .expect("the slow request is under way");
+            .expect("the slow request is in flight");
         drop(stop);
         taken.recv_blocking().expect("the stop is taken");
         let later: Vec<io::Result<String>> = (0..CALLERS)
-            .map(|_| ask(address, "/work").and_then(answer))
+            .map(|_| send_request(address, "/work").and_then(read_answer))
             .collect();
         drop(release);
-        (later, answer(slow))
+        (later, read_answer(slow))
     });
     let stop = async move {
         let _asked = stopped.recv().await;
-        let _heard = taken_in.try_send(());
+        let _sent = taken_in.try_send(());
     };
     let serving = server.serve(Rc::clone(&executor), handler, stop);
     smol::block_on(executor.run(serving));
@@ -112,16 +110,19 @@
         assert!(!is_late, "a caller was kept waiting: {outcome:?}");
     }
     let slow = slow.expect("a proper end");
-    assert!(slow.ends_with("done"), "what was under way is cut: {slow}");
+    assert!(
+        slow.ends_with("done"),
+        "the answer in flight is cut off: {slow}"
+    );
 }
 
-/// What a caller hears that has connected and written `before` when the stop
-/// comes, and writes `after` then.
+/// The answer to a caller that connects and writes `before` ahead of the stop,
+/// and writes `after` once the stop has begun.
 fn stop_before_the_head_is_in(before: &'static str, after: &'static str) -> String {
     let (server, address) = bind();
     let short = ConnectionTimeouts {
         head: Duration::from_millis(30),
-        idle: HANGS,
+        idle: ANSWER_TIMEOUT,
     };
     let server = server.with_timeouts(Shared::new(short));
     let executor = Rc::new(LocalExecutor::new());
@@ -129,16 +130,16 @@
     let (taken_in, taken) = bounded::<()>(1);
     let caller = thread::spawn(move || {
         let mut stream = TcpStream::connect(address).expect("a connection");
-        stream.set_read_timeout(Some(HANGS)).expect("set");
+        stream.set_read_timeout(Some(ANSWER_TIMEOUT)).expect("set");
         stream.write_all(before.as_bytes()).expect("written");
         connected_in.send_blocking(()).expect("the server waits");
         taken.recv_blocking().expect("the stop is taken");
         stream.write_all(after.as_bytes()).expect("written");
-        answer(stream).expect("a proper end")
+        read_answer(stream).expect("a proper end")
     });
     let stop = async move {
         let _connected = connected.recv().await;
-        let _heard = taken_in.try_send(());
+        let _sent = taken_in.try_send(());
     };
     let handler = |_| async { text_response(200, "done") };
     let serving = server.serve(Rc::clone(&executor), handler, stop);
@@ -147,14 +148,14 @@
 }
 
 #[test]
-fn who_has_just_connected_may_still_send_a_request() {
+fn a_caller_that_has_just_connected_may_still_send_a_request() {
     let text = stop_before_the_head_is_in("", "GET /work HTTP/1.1\r\nhost: a\r\n\r\n");
     assert!(text.starts_with("HTTP/1.1 200"), "{text}");
 }
 
-/// The limits of a connection hold during a stop as well.
+/// The timeouts of a connection apply during a stop as well.
 #[test]
-fn half_a_head_does_not_hold_a_stop_up() {
+fn an_incomplete_head_does_not_delay_a_stop() {
     let text = stop_before_the_head_is_in("GET /wo", "");
     assert_eq!(text, "");
 }
--- a/components/runtime/tests/version_offers.rs
+++ b/components/runtime/tests/version_offers.rs
@@ -1,4 +1,4 @@
-//! Which version is offered after a connection has ended.
+//! The version that is offered after a connection has ended.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 const AT_ONCE: Duration = Duration::from_millis(3);
 const LATER: Duration = Duration::from_secs(5);
 
-/// VersionOffers whose next one is the first of an earlier version.
+/// Offers whose next version is the first earlier one.
 fn at_earlier() -> VersionOffers {
     let mut offers = VersionOffers::default();
     offers.refused();
@@ -18,11 +18,11 @@
     offers
 }
 
-/// A peer that refuses a version breaks the connection under a frame as often as it closes it in peace.
+/// A peer that refuses a version resets the connection while a frame is sent as often as it closes it cleanly.
 #[rstest]
 #[case::refused(AT_ONCE, EncodingVersion::V16)]
-#[case::stood(LATER, EncodingVersion::CURRENT)]
-fn a_connection_that_ends_at_once_is_refused_however_it_ends(
+#[case::accepted(LATER, EncodingVersion::CURRENT)]
+fn a_connection_that_ends_at_once_counts_as_refused_however_it_ends(
     #[case] after: Duration,
     #[case] next: EncodingVersion,
 ) {
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn the_version_that_stood_comes_before_other_earlier_ones() {
+fn the_accepted_version_is_offered_before_other_earlier_ones() {
     let mut offers = at_earlier();
     offers.refused();
     offers.accepted();
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn a_connection_of_the_present_version_is_never_refused_afterwards() {
+fn a_connection_of_the_current_version_that_ended_never_counts_as_refused() {
     let mut offers = VersionOffers::default();
     offers.ended(EncodingVersion::CURRENT, AT_ONCE);
     assert_eq!(offers.next(), EncodingVersion::CURRENT);
