--- a/components/consensus/src/replication.rs
+++ b/components/consensus/src/replication.rs
@@ -276,13 +276,13 @@
 
     /// Commits entries that are durable on a majority, if they are of the current term.
     pub(crate) fn advance_commit(&mut self) {
-        let mut held: Vec<u64> = self
+        let mut durable: Vec<u64> = self
             .membership
             .voters()
             .map(|id| self.durable_index(id))
             .collect();
-        held.sort_unstable_by(|left, right| right.cmp(left));
-        let Some(candidate) = held.get(self.membership.quorum() - 1).copied() else {
+        durable.sort_unstable_by(|left, right| right.cmp(left));
+        let Some(candidate) = durable.get(self.membership.quorum() - 1).copied() else {
             return;
         };
         let own_term = self.log.term_at(candidate) == Some(self.hard_state.term);
--- a/components/runtime/src/client.rs
+++ b/components/runtime/src/client.rs
@@ -97,18 +97,18 @@
         request: Request<Full<Bytes>>,
         timeout: Duration,
     ) -> Result<Response<Bytes>, HttpError> {
-        let whole = async {
+        let complete_answer = async {
             let mut exchange = self.exchange(address, request).await?;
             let body = exchange.read_whole(MAX_RESPONSE_BYTES).await?;
             let head = exchange.head.clone();
             exchange.finish();
             Ok(Response::from_parts(head, body))
         };
-        let late = async {
+        let timed_out = async {
             Timer::after(timeout).await;
             Err(HttpError::TimedOut)
         };
-        smol::future::or(whole, late).await
+        smol::future::or(complete_answer, timed_out).await
     }
 
     /// Sends a request and returns its answer as a stream of chunks.
--- a/components/runtime/src/pool.rs
+++ b/components/runtime/src/pool.rs
@@ -178,10 +178,10 @@
     pub fn close_expired(&self) {
         let now = self.clock.now();
         let mut idle = self.idle.borrow_mut();
-        for kept in idle.values_mut() {
-            kept.retain(|idle| idle.until > now && !idle.sender.is_closed());
+        for connections in idle.values_mut() {
+            connections.retain(|idle| idle.until > now && !idle.sender.is_closed());
         }
-        idle.retain(|_, kept| !kept.is_empty());
+        idle.retain(|_, connections| !connections.is_empty());
     }
 
     fn exchange(
@@ -225,8 +225,8 @@
     fn take_idle(&self, address: &str) -> Option<Sender> {
         let now = self.clock.now();
         let mut idle = self.idle.borrow_mut();
-        let kept = idle.get_mut(address)?;
-        while let Some(candidate) = kept.pop() {
+        let connections = idle.get_mut(address)?;
+        while let Some(candidate) = connections.pop() {
             if candidate.until > now && !candidate.sender.is_closed() {
                 return Some(candidate.sender);
             }
@@ -236,12 +236,12 @@
 
     fn keep(&self, address: &str, sender: Sender, idle_timeout: Duration, max_idle: usize) {
         let mut idle = self.idle.borrow_mut();
-        let kept = idle.entry(address.to_owned()).or_default();
+        let connections = idle.entry(address.to_owned()).or_default();
         let max_idle = max_idle.min(self.settings.idle_per_address);
-        kept.truncate(max_idle);
-        if kept.len() < max_idle && !sender.is_closed() {
+        connections.truncate(max_idle);
+        if connections.len() < max_idle && !sender.is_closed() {
             let until = self.clock.now() + Millis(idle_timeout.as_millis() as u64);
-            kept.push(Idle { sender, until });
+            connections.push(Idle { sender, until });
         }
     }
 }
@@ -270,14 +270,14 @@
     /// # Errors
     /// When the body is longer, or the connection ends before it is complete.
     pub async fn read_whole(&mut self, limit: usize) -> Result<Bytes, HttpError> {
-        let mut whole = Vec::new();
+        let mut collected = Vec::new();
         while let Some(chunk) = self.next().await? {
-            if whole.len() + chunk.len() > limit {
+            if collected.len() + chunk.len() > limit {
                 return Err(HttpError::TooLong(limit));
             }
-            whole.extend_from_slice(&chunk);
+            collected.extend_from_slice(&chunk);
         }
-        Ok(Bytes::from(whole))
+        Ok(Bytes::from(collected))
     }
 
     /// Whether the headers define where the answer ends. Otherwise it ends with its
--- a/components/runtime/src/server.rs
+++ b/components/runtime/src/server.rs
@@ -375,11 +375,11 @@
 /// See [`BodyError`].
 pub async fn read_body(mut body: Incoming, limits: &Limits) -> Result<Bytes, BodyError> {
     let read = async { Some(collect(&mut body, limits.body_bytes).await) };
-    let late = async {
+    let expired = async {
         Timer::after(limits.body_time).await;
         None
     };
-    let read = smol::future::or(read, late).await;
+    let read = smol::future::or(read, expired).await;
     if matches!(read, Some(Err(BodyError::TooLarge))) {
         discard_body(body).await;
     }
@@ -387,18 +387,18 @@
 }
 
 async fn collect(body: &mut Incoming, max_bytes: usize) -> Result<Bytes, BodyError> {
-    let mut whole = Vec::new();
+    let mut collected = Vec::new();
     while let Some(frame) = body.frame().await {
         let frame = frame.map_err(|_| BodyError::CutOff)?;
         let Ok(data) = frame.into_data() else {
             continue;
         };
-        if whole.len() + data.len() > max_bytes {
+        if collected.len() + data.len() > max_bytes {
             return Err(BodyError::TooLarge);
         }
-        whole.extend_from_slice(&data);
+        collected.extend_from_slice(&data);
     }
-    Ok(Bytes::from(whole))
+    Ok(Bytes::from(collected))
 }
 
 /// Reads and discards the rest of a body, within limits. Closing a connection
@@ -414,16 +414,16 @@
             }
         }
     };
-    let late = async {
+    let expired = async {
         Timer::after(DISCARD_TIMEOUT).await;
     };
-    smol::future::or(discarding, late).await;
+    smol::future::or(discarding, expired).await;
 }
 
 /// Creates a body from bytes.
 pub fn bytes_body(bytes: impl Into<Bytes>) -> Body {
-    let whole = Full::new(bytes.into());
-    Box::pin(whole.map_err(|never| match never {}))
+    let collected = Full::new(bytes.into());
+    Box::pin(collected.map_err(|never| match never {}))
 }
 
 /// Creates a body from a channel of chunks; it ends when the channel closes.
