--- a/components/forwarding-shell/src/buffered.rs
+++ b/components/forwarding-shell/src/buffered.rs
@@ -245,7 +245,7 @@
     let body_read = open.exchange.read_whole(MAX_ANSWER_BYTES).await;
     match body_read {
         Ok(body) => {
-            if open.exchange.tells_end() {
+            if open.exchange.has_explicit_end() {
                 open.guard.completed(call);
             }
             let status = open.exchange.head.status;
