--- a/components/forwarding-shell/src/handover.rs
+++ b/components/forwarding-shell/src/kv_transfer.rs
@@ -1,36 +1,38 @@
-//! A prompt that one engine prefills for another.
+//! Prefills a prompt on one engine and holds its KV cache for the decode engine.
 
 use std::rc::Rc;
 
 use garnet_forwarding::{AttemptEnd, NotRunReason, PrefillWork, Prompt};
 use garnet_types::{BackendId, Millis};
 
-use crate::attempt::{OpenAnswer, attempt, failed_with, log_failure};
+use crate::attempt::{OpenAnswer, attempt, log_failure, status_cause};
 use crate::gateway::Gateway;
-use crate::ports::{BackendPort, Call, CallerPort, HandoverSource, Job, JobPhase};
+use crate::ports::{BackendPort, Call, CallerPort, Job, JobPhase, KvSource};
 
-/// Longest body of the answer to a prompt that was prefilled.
-const SHORT_BODY: usize = 64 * 1024;
+/// Longest body of the answer to a prefill.
+const MAX_PREFILL_BODY_BYTES: usize = 64 * 1024;
 
-/// A KV cache that waits for its engine. It is freed when nobody takes it.
+/// A KV cache that waits for its decode engine. If dropped untaken, the prefill engine
+/// is asked to free it.
 pub(crate) struct WaitingCache<C: CallerPort + 'static, B: BackendPort + 'static> {
     gateway: Rc<Gateway<C, B>>,
     prefill_engine: BackendId,
-    source: HandoverSource,
+    source: KvSource,
     taken: bool,
 }
 
 impl<C: CallerPort + 'static, B: BackendPort + 'static> WaitingCache<C, B> {
-    pub(crate) fn source(&self) -> HandoverSource {
+    pub(crate) fn source(&self) -> KvSource {
         self.source.clone()
     }
 
-    /// The engine that read the prompt.
+    /// The engine that prefilled the prompt.
     pub(crate) fn prefill_engine(&self) -> &BackendId {
         &self.prefill_engine
     }
 
-    /// When its engine may be asked to free it; `None` where the cache lapses before.
+    /// When the prefill engine may be asked to free the cache; `None` if the cache
+    /// expires before.
     fn release_due(&self) -> Option<Millis> {
         let now = self.gateway.now();
         let forwarder = self.gateway.forwarder.borrow();
@@ -41,7 +43,7 @@
         is_kept.then(|| now + remaining)
     }
 
-    /// An engine has taken it.
+    /// Notes that a decode engine has taken the cache.
     pub(crate) fn taken(mut self) {
         self.taken = true;
     }
@@ -58,14 +60,14 @@
         let address = self.source.address.clone();
         let due = self.release_due();
         let release = async move {
-            // An engine in backoff is sent nothing, this included.
+            // An engine in backoff is sent nothing, not even this request.
             match due {
                 Some(due) => timers.sleep_until(due).await,
                 None => return,
             }
-            // It lapses by itself when this does not arrive.
+            // If the request does not arrive, the cache expires by itself.
             if let Ok(mut exchange) = pool.send(&address, request).await
-                && exchange.read_whole(SHORT_BODY).await.is_ok()
+                && exchange.read_whole(MAX_PREFILL_BODY_BYTES).await.is_ok()
             {
                 exchange.finish();
             }
@@ -74,7 +76,7 @@
     }
 }
 
-/// How long the job's engine may take to read the prompt, where any limit is known.
+/// How long the job's engine may take to prefill the prompt, if a limit is known.
 pub(crate) fn prefill_time_limit<C: CallerPort, B: BackendPort>(
     gateway: &Gateway<C, B>,
     call: &Call,
@@ -85,10 +87,11 @@
     forwarder.prefill_timeout(&job.backend, tokens, job.priority, gateway.now())
 }
 
-/// Has the prompt read by the job's engine.
+/// Has the job's engine prefill the prompt.
 ///
 /// # Errors
-/// How the attempt ended. A prefill runs nothing, so it is never in doubt.
+/// How the attempt ended. A prefill does not run the request, so a failed one always
+/// counts as not run.
 pub(crate) async fn prefill<C: CallerPort + 'static, B: BackendPort + 'static>(
     gateway: &Rc<Gateway<C, B>>,
     call: &Call,
@@ -96,7 +99,7 @@
 ) -> Result<WaitingCache<C, B>, AttemptEnd> {
     let began = gateway.now();
     let sent = attempt(gateway, call, job).await;
-    let mut open = sent.map_err(not_run)?;
+    let mut open = sent.map_err(as_not_run)?;
     let prefill_work = open.guard.prefill_work();
     let failed = |open: &mut OpenAnswer<C, B>, cause: &str| {
         open.guard.failed();
@@ -105,9 +108,9 @@
     };
     let status = open.exchange.head.status;
     if !status.is_success() {
-        return Err(failed(&mut open, &failed_with(status)));
+        return Err(failed(&mut open, &status_cause(status)));
     }
-    let body = match open.exchange.read_whole(SHORT_BODY).await {
+    let body = match open.exchange.read_whole(MAX_PREFILL_BODY_BYTES).await {
         Ok(body) => body,
         Err(error) => {
             open.guard.connection_lost(call);
@@ -115,11 +118,11 @@
             return Err(AttemptEnd::NotRun(NotRunReason::CacheGone));
         }
     };
-    let Some(read) = gateway.backends.read_prefill_answer(&body) else {
-        return Err(failed(&mut open, "the answer tells no KV cache"));
+    let Some(prefilled) = gateway.backends.read_prefill_answer(&body) else {
+        return Err(failed(&mut open, "the prefill answer names no KV cache"));
     };
     let took = gateway.now().since(began);
-    log_read(call, job, prefill_work, took);
+    log_prefill(call, job, prefill_work, took);
     let tokens = prefill_work.uncached + prefill_work.queued;
     let mut forwarder = gateway.forwarder.borrow_mut();
     forwarder.note_prefill(&job.backend, tokens, took);
@@ -131,9 +134,9 @@
         forwarder.address(&job.backend).map(str::to_owned)
     };
     open.exchange.finish();
-    let source = HandoverSource {
+    let source = KvSource {
         address: address.unwrap_or_default(),
-        handle: read.handle,
+        handle: prefilled.handle,
     };
     Ok(WaitingCache {
         gateway: Rc::clone(gateway),
@@ -143,7 +146,7 @@
     })
 }
 
-fn log_read(call: &Call, job: &Job, prefill_work: PrefillWork, took: Millis) {
+fn log_prefill(call: &Call, job: &Job, prefill_work: PrefillWork, took: Millis) {
     let copied_from = match &job.phase {
         JobPhase::Prefill(Some(source)) => source.backend.as_str(),
         _ => "",
@@ -166,7 +169,7 @@
     );
 }
 
-fn not_run(end: AttemptEnd) -> AttemptEnd {
+fn as_not_run(end: AttemptEnd) -> AttemptEnd {
     match end {
         AttemptEnd::Broken | AttemptEnd::Failed => AttemptEnd::NotRun(NotRunReason::CacheGone),
         other => other,
--- a/components/forwarding-shell/src/start.rs
+++ b/components/forwarding-shell/src/start.rs
@@ -21,18 +21,18 @@
 use crate::connection_queue::ConnectionQueue;
 use crate::gateway::{Gateway, connection_times};
 use crate::metrics::GatewayMetrics;
-use crate::permits::PermitDesk;
+use crate::permits::PermitClient;
 use crate::ports::{BackendPort, CallerPort};
 use crate::request;
-use crate::stopping::{StopTimes, give_notice};
-use crate::unknown_names::UnknownNames;
+use crate::stopping::{StopTimes, announce_stop};
+use crate::unknown_headers::UnknownHeaders;
 use crate::watch::{self, Watch, WatchOwner};
 
-/// Questions to the leader that wait for its connection: a watch with what goes with
-/// it, and a permit for each request of a moment's crowd.
+/// Maximum number of requests to the leader that are queued: a watch with the reports
+/// beside it, and a permit for each request of a short burst.
 const QUEUED_REQUESTS: usize = 64;
 
-/// Addresses of the control replicas; settings that change are noted here.
+/// Addresses of the control replicas, replaced when the settings change.
 pub type Replicas = Shared<Vec<String>>;
 
 /// Settings of a forwarding gateway.
@@ -44,29 +44,29 @@
     pub zone: String,
     /// Where callers connect.
     pub listen: SocketAddr,
-    /// Where readiness is asked for.
+    /// Address of the readiness page.
     pub ready_listen: SocketAddr,
-    /// Where metrics are told, if anywhere.
+    /// Address of the metrics page, if there is one.
     pub metrics_listen: Option<SocketAddr>,
     /// The control replicas.
     pub replicas: Replicas,
-    /// Length of the windows over which usage is told; `None` counts none.
+    /// Length of the windows over which usage is reported; `None` counts no usage.
     pub usage_window: Option<Millis>,
-    /// Repeats that all gateways together may send a service.
+    /// Retry budget of a service, shared by all gateways.
     pub budget: SharedRetryBudget,
-    /// How a planned stop goes.
+    /// Times of a planned stop.
     pub stop: StopTimes,
 }
 
-/// What is plugged into the shell.
+/// The ports that are plugged into the shell.
 pub struct Ports<C, B> {
-    /// Callers.
+    /// The port to callers.
     pub callers: C,
-    /// Back ends.
+    /// The port to back ends.
     pub backends: B,
 }
 
-/// Runs the gateway, and `more` children beside it, until a planned stop.
+/// Runs the gateway, with `extra_children` in its supervisor tree, until a planned stop.
 ///
 /// # Errors
 /// When a port can't be bound, or a child failed too often.
@@ -74,7 +74,7 @@
     shell: &Shell,
     options: GatewayOptions,
     ports: Ports<C, B>,
-    more: Vec<ChildSpec>,
+    extra_children: Vec<ChildSpec>,
 ) -> io::Result<()>
 where
     C: CallerPort + 'static,
@@ -82,7 +82,7 @@
 {
     let times = Shared::new(connection_times(CallerLimits::default()));
     let server = smol::block_on(HttpServer::bind(options.listen, Limits::default()))?;
-    let server = server.with_times(times.clone());
+    let server = server.with_timeouts(times.clone());
     let ready_server = smol::block_on(HttpServer::bind(options.ready_listen, Limits::default()))?;
     let id = GatewayId::new(format!("{}.{:016x}", options.name, rand::random::<u64>()));
     let (requests_in, requests) = bounded::<GatewayRequest>(QUEUED_REQUESTS);
@@ -102,12 +102,12 @@
         timers: Timers::new(shell.clock),
         started_at: shell.clock.now(),
         metrics: GatewayMetrics::new(),
-        permits: PermitDesk::new(id.clone(), requests_in.clone()),
+        permits: PermitClient::new(id.clone(), requests_in.clone()),
         connections: ConnectionQueue::default(),
-        unknown_names: UnknownNames::default(),
+        unknown_headers: UnknownHeaders::default(),
         connection_times: times,
         routes_since: Cell::new(shell.clock.now()),
-        gone_by: Cell::new(None),
+        stop_deadline: Cell::new(None),
         open_requests: Rc::default(),
     });
     log::info!(
@@ -124,7 +124,7 @@
         requests_in,
         requests.clone(),
     ));
-    let mut children = more;
+    let mut children = extra_children;
     children.extend([
         control_link::child(WatchOwner(Rc::clone(&watch)), id, requests),
         watch::ticker(Rc::clone(&watch)),
@@ -139,16 +139,16 @@
             async move { response }
         }));
     }
-    let asked = Rc::clone(&gateway);
+    let for_readiness = Rc::clone(&gateway);
     children.push(shell.http_child(Rc::new(ready_server), move |request| {
-        let response = show_readiness(&asked, request.uri().path());
+        let response = show_readiness(&for_readiness, request.uri().path());
         async move { response }
     }));
-    let serving = Rc::clone(&gateway);
+    let for_requests = Rc::clone(&gateway);
     children.push(shell.http_child(Rc::new(server), move |request| {
-        request::handle(Rc::clone(&serving), request)
+        request::handle(Rc::clone(&for_requests), request)
     }));
-    shell.run(children, give_notice(gateway, options.stop))
+    shell.run(children, announce_stop(gateway, options.stop))
 }
 
 fn show_readiness<C: CallerPort, B: BackendPort>(
