--- a/bin/garnet-bench/src/fleet.rs
+++ b/bin/garnet-bench/src/fleet.rs
@@ -7,7 +7,7 @@
 use garnet_control::{
     BackendRecord, BackendRegistration, BackendState, Configuration, ConfigurationChange,
     EngineObservation, GatewayDigest, LoadDigest, MembersHash, PriorityCounts, PromptCopy,
-    UNTOLD_START, WatchUpdate,
+    UNKNOWN_START, WatchUpdate,
 };
 use garnet_forwarding::{
     Arrival, Forwarder, ForwarderSettings, Prompt, PromptPart, ReportedLimit, SharedRetryBudget,
@@ -130,7 +130,7 @@
             service: ServiceId::new(SERVICE),
             address: format!("10.1.{}.{}:8080", number / 250, number % 250),
             zone: ZONES[number % ZONES.len()].to_owned(),
-            start: UNTOLD_START,
+            start: UNKNOWN_START,
         },
         machine,
         desired: None,
--- a/bin/garnet-standin/src/engine.rs
+++ b/bin/garnet-standin/src/engine.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use garnet_control::{BackendRegistration, UNTOLD_START};
+use garnet_control::{BackendRegistration, UNKNOWN_START};
 use garnet_engine_api::{
     DRAINING, DRAINING_HEADER, Faults, GenerateEvent, GenerateRequest, KvExport, KvLocation,
     LIMIT_HEADER, NOT_STARTED, NotStarted, PrefillRequest, PrefillResponse, REASON_NO_KV,
@@ -94,7 +94,7 @@
             service: ServiceId::new(arguments.service.clone()),
             address,
             zone: arguments.zone.clone(),
-            start: UNTOLD_START,
+            start: UNKNOWN_START,
         };
         let child = registration::child(&shell, platform.clone(), registration);
         children.push(child);
--- a/components/control/src/configuration.rs
+++ b/components/control/src/configuration.rs
@@ -8,7 +8,7 @@
 use garnet_routes::RouteTable;
 use garnet_types::{
     BackendId, BackendKind, EngineAssignment, Fence, MachineState, Millis, ModelId, ServiceId,
-    SessionId, TenantId, UNTOLD_START,
+    SessionId, TenantId, UNKNOWN_START,
 };
 use serde::{Deserialize, Serialize};
 
@@ -49,7 +49,7 @@
     pub address: String,
     /// Zone that it runs in.
     pub zone: String,
-    /// Start of an application's process, or [`UNTOLD_START`]. The start of an engine is
+    /// Start of an application's process, or [`UNKNOWN_START`]. The start of an engine is
     /// part of its [`EngineObservation`].
     pub start: u64,
 }
@@ -59,7 +59,7 @@
     /// machine list may omit the start.
     pub(crate) fn with_known_start(&self, former: &BackendRegistration) -> BackendRegistration {
         let start = match self.start {
-            UNTOLD_START => former.start,
+            UNKNOWN_START => former.start,
             known => known,
         };
         BackendRegistration {
@@ -72,7 +72,7 @@
 /// Observed state of an engine.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineObservation {
-    /// Start of the engine's process, or [`UNTOLD_START`].
+    /// Start of the engine's process, or [`UNKNOWN_START`].
     pub incarnation: u64,
     /// Role and model of the engine.
     pub assignment: EngineAssignment,
@@ -83,14 +83,14 @@
     /// lost its KV cache and its state.
     pub fn is_restart_of(&self, former: &EngineObservation) -> bool {
         let starts = [self.incarnation, former.incarnation];
-        !starts.contains(&UNTOLD_START) && self.incarnation != former.incarnation
+        !starts.contains(&UNKNOWN_START) && self.incarnation != former.incarnation
     }
 
     /// This observation, with the start of `former` if it has none: some of the sources
     /// that report an engine do not report its start.
     pub(crate) fn with_known_start(&self, former: Option<&EngineObservation>) -> EngineObservation {
         let start = match self.incarnation {
-            UNTOLD_START => former.map_or(UNTOLD_START, |former| former.incarnation),
+            UNKNOWN_START => former.map_or(UNKNOWN_START, |former| former.incarnation),
             known => known,
         };
         EngineObservation {
@@ -143,7 +143,7 @@
         ready && self.machine == MachineState::Live
     }
 
-    /// Start of the back end, or [`UNTOLD_START`].
+    /// Start of the back end, or [`UNKNOWN_START`].
     pub fn start(&self) -> u64 {
         let observed = self.observed.as_ref();
         observed.map_or(self.registration.start, |seen| seen.incarnation)
--- a/components/control/src/encoding/v11/configuration.rs
+++ b/components/control/src/encoding/v11/configuration.rs
@@ -9,7 +9,7 @@
 };
 use garnet_types::{
     BackendId, BackendKind, EngineAssignment, MachineState, Millis, ServiceId, SessionId,
-    UNTOLD_START,
+    UNKNOWN_START,
 };
 use serde::{Deserialize, Serialize};
 
@@ -178,7 +178,7 @@
             service: registration.service,
             address: registration.address,
             zone: registration.zone,
-            start: UNTOLD_START,
+            start: UNKNOWN_START,
         }
     }
 }
--- a/components/control/src/lib.rs
+++ b/components/control/src/lib.rs
@@ -38,7 +38,7 @@
 pub use answer::{ClaimAnswer, CommandAnswer};
 pub use claims::{CLAIM_RETENTION, ClaimState, Claims, MAX_CLAIMS, MAX_RECORDED_BYTES};
 pub use command::{ClaimCommand, Command, CommandEnvelope, MachineUpdate};
-pub use garnet_types::UNTOLD_START;
+pub use garnet_types::UNKNOWN_START;
 pub use priority_counts::{LOWEST_PRIORITY, PriorityCounts};
 
 pub use configuration::{
--- a/components/control/src/replica/engines.rs
+++ b/components/control/src/replica/engines.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use garnet_types::{BackendId, MachineState, Millis, OrderAnswer, UNTOLD_START};
+use garnet_types::{BackendId, MachineState, Millis, OrderAnswer, UNKNOWN_START};
 
 use crate::command::{Command, MachineUpdate};
 use crate::effects::{Effect, EngineRequest, MachineEntry};
@@ -209,7 +209,7 @@
         }
         let mut machines = machines.to_vec();
         for machine in &mut machines {
-            machine.registration.start = UNTOLD_START;
+            machine.registration.start = UNKNOWN_START;
         }
         Some(machines)
     }
--- a/components/control/src/replica/limiting.rs
+++ b/components/control/src/replica/limiting.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 
 use garnet_limits::{LimitEntry, LimitLedger, LimitReport, LimitReports, PermitRequest};
-use garnet_types::{BackendId, GatewayId, Millis, UNTOLD_START};
+use garnet_types::{BackendId, GatewayId, Millis, UNKNOWN_START};
 
 use crate::configuration::Configuration;
 use crate::effects::Effect;
@@ -123,7 +123,7 @@
         return false;
     };
     let current_start = record.start();
-    report.start == current_start || report.start == UNTOLD_START || current_start == UNTOLD_START
+    report.start == current_start || report.start == UNKNOWN_START || current_start == UNKNOWN_START
 }
 
 impl Replica {
--- a/components/control/tests/state/balancing.rs
+++ b/components/control/tests/state/balancing.rs
@@ -3,7 +3,7 @@
 use crate::leader::Leader;
 use garnet_control::{
     BackendRegistration, Backlog, Effect, EngineObservation, EnginePolling, Event, GatewayRequest,
-    MachineEntry, PriorityCounts, ReplicaSettings, UNTOLD_START,
+    MachineEntry, PriorityCounts, ReplicaSettings, UNKNOWN_START,
 };
 use garnet_limits::{LimitReport, LimitReports};
 use garnet_planner::BalanceSettings;
@@ -21,7 +21,7 @@
             service: ServiceId::new("words"),
             address: format!("10.1.0.{number}:8080"),
             zone: format!("zone-{}", number % 3),
-            start: UNTOLD_START,
+            start: UNKNOWN_START,
         },
         state: MachineState::Live,
         observed: Some(EngineObservation {
--- a/components/control/tests/state/copies.rs
+++ b/components/control/tests/state/copies.rs
@@ -2,7 +2,7 @@
 
 use garnet_control::{
     BackendRegistration, Command, ControlReply, CopyUpdates, Event, GatewayRequest, MembersHash,
-    PromptCopy, UNTOLD_START,
+    PromptCopy, UNKNOWN_START,
 };
 use garnet_types::{BackendId, BackendKind, GatewayId, Millis, PrefixId, ServiceId};
 
@@ -62,7 +62,7 @@
             service: ServiceId::new("words"),
             address: "10.1.0.1:8080".to_owned(),
             zone: "a".to_owned(),
-            start: UNTOLD_START,
+            start: UNKNOWN_START,
         })
     };
     let commands = ids().into_iter().map(put).collect();
--- a/components/control/tests/state/fleet.rs
+++ b/components/control/tests/state/fleet.rs
@@ -2,7 +2,7 @@
 
 use garnet_control::{
     BackendRegistration, Command, CommandAnswer, CommandEnvelope, ControlState, EngineObservation,
-    UNTOLD_START,
+    UNKNOWN_START,
 };
 use garnet_types::{
     BackendId, BackendKind, CommandId, EngineAssignment, EngineRole, Millis, ModelId, ServiceId,
@@ -79,7 +79,7 @@
         service: ServiceId::new("language"),
         address: format!("127.0.0.1:{}", 9000 + number),
         zone: "a".into(),
-        start: UNTOLD_START,
+        start: UNKNOWN_START,
     })
 }
 
--- a/components/control/tests/state/fleet_size.rs
+++ b/components/control/tests/state/fleet_size.rs
@@ -6,7 +6,7 @@
 use garnet_consensus::Config;
 use garnet_control::{
     BackendRegistration, Command, Duty, DutyAnswer, DutyCall, DutySettings, Effect,
-    EngineObservation, Event, MachineEntry, ReplicaSettings, UNTOLD_START,
+    EngineObservation, Event, MachineEntry, ReplicaSettings, UNKNOWN_START,
 };
 use garnet_planner::EngineKind;
 use garnet_routes::{BuyingTerms, PriceMilli, RouteTable, ServiceSettings};
@@ -141,7 +141,7 @@
             service: ServiceId::new("words"),
             address: format!("10.0.{zone}.1:{number}"),
             zone: ZONES[zone].to_owned(),
-            start: UNTOLD_START,
+            start: UNKNOWN_START,
         },
         state: MachineState::Live,
         observed: Some(EngineObservation {
--- a/components/control/tests/state/load_digest.rs
+++ b/components/control/tests/state/load_digest.rs
@@ -3,7 +3,7 @@
 use garnet_control::{
     BackendRegistration, BackendState, Backlog, Command, ControlReply, Effect, Event, Evidence,
     GatewayDigest, GatewayRequest, LoadDigest, MembersHash, PositionedState, PriorityCounts,
-    UNTOLD_START,
+    UNKNOWN_START,
 };
 use garnet_types::{BackendId, BackendKind, GatewayId, Millis, ServiceId};
 use proptest::prelude::*;
@@ -33,7 +33,7 @@
         service: ServiceId::new("till"),
         address: format!("10.1.0.{number}:8080"),
         zone: "a".to_owned(),
-        start: UNTOLD_START,
+        start: UNKNOWN_START,
     };
     let put = |number| Command::PutBackend(registration(number));
     let mut leader = Leader::elected(Leader::settings(), (0..BACKENDS).map(put).collect());
--- a/components/control/tests/state/machine_list.rs
+++ b/components/control/tests/state/machine_list.rs
@@ -7,7 +7,7 @@
 use crate::leader::Leader;
 use garnet_control::{
     BackendRegistration, EngineObservation, EnginePolling, Event, MachineEntry, ReplicaSettings,
-    UNTOLD_START,
+    UNKNOWN_START,
 };
 use garnet_types::{
     BackendId, BackendKind, EngineAssignment, EngineRole, MachineState, Millis, ModelId, ServiceId,
@@ -22,7 +22,7 @@
             service: ServiceId::new("words"),
             address: format!("10.1.{}.{}:8080", number / 250, number % 250),
             zone: format!("zone-{}", number % 5),
-            start: UNTOLD_START,
+            start: UNKNOWN_START,
         },
         state,
         observed: Some(EngineObservation {
@@ -128,7 +128,7 @@
     entries_of(&mut leader, list(3));
     leader.persist();
     let mut next = list(3);
-    next[2].observed.as_mut().expect("an engine").incarnation = UNTOLD_START;
+    next[2].observed.as_mut().expect("an engine").incarnation = UNKNOWN_START;
     assert_eq!(entries_of(&mut leader, next.clone()), 0);
     next[2].observed.as_mut().expect("an engine").incarnation = 77;
     assert_eq!(entries_of(&mut leader, next), 1);
@@ -152,7 +152,7 @@
     };
     assert_eq!(entries_of(&mut leader, application(7)), 1);
     leader.persist();
-    assert_eq!(entries_of(&mut leader, application(UNTOLD_START)), 0);
+    assert_eq!(entries_of(&mut leader, application(UNKNOWN_START)), 0);
     assert_eq!(entries_of(&mut leader, application(8)), 1);
     leader.persist();
     assert_eq!(entries_of(&mut leader, application(8)), 0);
--- a/components/control/tests/state/watching.rs
+++ b/components/control/tests/state/watching.rs
@@ -4,7 +4,7 @@
 
 use garnet_control::{
     BackendRegistration, Command, CommandEnvelope, ConfigurationChange, ControlReply, Event,
-    OperatorRequest, Shared, UNTOLD_START, WatchUpdate,
+    OperatorRequest, Shared, UNKNOWN_START, WatchUpdate,
 };
 use garnet_routes::RouteTable;
 use garnet_types::{BackendId, BackendKind, Millis, ServiceId};
@@ -122,7 +122,7 @@
         service: ServiceId::new("words"),
         address: "10.0.0.1:80".into(),
         zone: zone.into(),
-        start: UNTOLD_START,
+        start: UNKNOWN_START,
     };
     let envelope = CommandEnvelope::unnamed(Command::PutBackend(registration), leader.now);
     let wait = false;
--- a/components/forwarding/src/backends.rs
+++ b/components/forwarding/src/backends.rs
@@ -1,6 +1,6 @@
 //! A gateway's estimate of the state of one back end.
 
-use garnet_control::{BackendRecord, BackendRegistration, Backlog, PriorityCounts, UNTOLD_START};
+use garnet_control::{BackendRecord, BackendRegistration, Backlog, PriorityCounts, UNKNOWN_START};
 use garnet_routing::{Availability, CircuitBreaker};
 use garnet_types::{BackendId, BackendKind, EngineRole, Millis};
 
@@ -187,7 +187,7 @@
     pub fn new(record: &BackendRecord) -> Self {
         let mut backend = Backend {
             registration: record.registration.clone(),
-            start: UNTOLD_START,
+            start: UNKNOWN_START,
             role: None,
             takes_work: false,
             gone: false,
@@ -216,7 +216,7 @@
         let new_start = record.start();
         let before = std::mem::replace(&mut self.start, new_start);
         let has_restarted =
-            before != new_start && before != UNTOLD_START && new_start != UNTOLD_START;
+            before != new_start && before != UNKNOWN_START && new_start != UNKNOWN_START;
         if has_restarted {
             self.gone = false;
             self.breaker = CircuitBreaker::default();
--- a/components/forwarding/src/forwarder/quarantine.rs
+++ b/components/forwarding/src/forwarder/quarantine.rs
@@ -1,7 +1,7 @@
 //! Requests that crash engines: what this gateway observed of them, and what the leader
 //! and the configuration report.
 
-use garnet_control::UNTOLD_START;
+use garnet_control::UNKNOWN_START;
 use garnet_quarantine::{
     EngineStart, QuarantineStatus, RequestFingerprint, RunReport, Suspects, isolation_backend,
 };
@@ -37,7 +37,9 @@
     pub fn run_crashed(&mut self, fingerprint: RequestFingerprint, id: &BackendId, now: Millis) {
         let engine = EngineStart {
             backend: id.clone(),
-            incarnation: self.backend(id).map_or(UNTOLD_START, |engine| engine.start),
+            incarnation: self
+                .backend(id)
+                .map_or(UNKNOWN_START, |engine| engine.start),
         };
         self.crash_log.crashed(fingerprint, engine, now);
     }
--- a/components/forwarding/tests/core/availability.rs
+++ b/components/forwarding/tests/core/availability.rs
@@ -150,7 +150,7 @@
     };
     assert!(!update(&mut gateway, 6, 7));
     assert!(
-        !update(&mut gateway, 7, garnet_control::UNTOLD_START),
+        !update(&mut gateway, 7, garnet_control::UNKNOWN_START),
         "nothing is told"
     );
     assert!(!update(&mut gateway, 8, 7));
--- a/components/forwarding/tests/core/fleet.rs
+++ b/components/forwarding/tests/core/fleet.rs
@@ -4,7 +4,7 @@
 
 use garnet_control::{
     BackendRecord, BackendRegistration, BackendState, Backlog, Configuration, EngineObservation,
-    GatewayDigest, LoadDigest, MembersHash, UNTOLD_START, WatchUpdate,
+    GatewayDigest, LoadDigest, MembersHash, UNKNOWN_START, WatchUpdate,
 };
 use garnet_forwarding::{
     Forwarder, ForwarderSettings, Prompt, PromptPart, SharedRetryBudget, Work,
@@ -34,7 +34,7 @@
             service: ServiceId::new(service),
             address: format!("10.0.0.1:{}", 8000 + id.len()),
             zone: zone.to_owned(),
-            start: UNTOLD_START,
+            start: UNKNOWN_START,
         },
         machine: MachineState::Live,
         desired: None,
--- a/components/gateway/tests/core/harness.rs
+++ b/components/gateway/tests/core/harness.rs
@@ -2,7 +2,7 @@
 
 use garnet_control::{
     BackendRecord, BackendRegistration, ClaimAnswer, ClaimRequest, Configuration, ControlReply,
-    CopyUpdates, EngineObservation, GatewayRequest, UNTOLD_START, WatchUpdate,
+    CopyUpdates, EngineObservation, GatewayRequest, UNKNOWN_START, WatchUpdate,
 };
 use garnet_gateway::{
     Answer, AttemptEvent, AttemptId, Call, Effect, Event, Gateway, GatewaySettings, Job, Work,
@@ -255,7 +255,7 @@
             service: ServiceId::new(service),
             address: id.to_owned(),
             zone: "a".to_owned(),
-            start: UNTOLD_START,
+            start: UNKNOWN_START,
         },
         machine: MachineState::Live,
         desired: None,
--- a/components/limits/src/gateway_limits.rs
+++ b/components/limits/src/gateway_limits.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeSet, HashMap, VecDeque};
 
-use garnet_types::{BackendId, Millis, UNTOLD_START};
+use garnet_types::{BackendId, Millis, UNKNOWN_START};
 
 use crate::messages::{
     LimitList, LimitReport, LimitReports, PERMIT_LIFETIME, PermitAnswer, PermitOutcome,
@@ -253,7 +253,7 @@
         for entry in list.limits {
             let known = self.known.entry(entry.backend.clone());
             let known = known
-                .or_insert_with(|| Limit::new(entry.rate, UNTOLD_START, LeaderView::Listed, now));
+                .or_insert_with(|| Limit::new(entry.rate, UNKNOWN_START, LeaderView::Listed, now));
             if known.leader_view != LeaderView::Unsent {
                 known.rate = entry.rate;
             }
--- a/components/simulator/src/world/processes.rs
+++ b/components/simulator/src/world/processes.rs
@@ -1,6 +1,6 @@
 //! Starts, planned stops and crashes of processes.
 
-use garnet_control::{BackendRegistration, UNTOLD_START};
+use garnet_control::{BackendRegistration, UNKNOWN_START};
 use garnet_gateway::AttemptEvent;
 use garnet_storage::PowerLoss;
 use garnet_types::{BackendKind, MachineState, Millis, RequestId, ServiceId};
@@ -50,7 +50,7 @@
                 (
                     engine_id(place),
                     ENGINE_SERVICE,
-                    UNTOLD_START,
+                    UNKNOWN_START,
                     leaving_since,
                 )
             }
--- a/components/types/src/backend.rs
+++ b/components/types/src/backend.rs
@@ -60,4 +60,4 @@
 }
 
 /// Start of a back end that does not report its starts.
-pub const UNTOLD_START: u64 = 0;
+pub const UNKNOWN_START: u64 = 0;
--- a/components/types/src/lib.rs
+++ b/components/types/src/lib.rs
@@ -13,7 +13,7 @@
 pub mod usage;
 pub mod verdict;
 
-pub use backend::{BackendKind, EngineRole, MachineState, UNTOLD_START};
+pub use backend::{BackendKind, EngineRole, MachineState, UNKNOWN_START};
 pub use decimal::Decimal;
 pub use encoding_version::EncodingVersion;
 pub use engine::{EngineAssignment, EngineCapacity, EngineOrder, EngineStatus, OrderAnswer};
