--- a/components/control/src/pool_census.rs
+++ b/components/control/src/pool_census.rs
@@ -38,7 +38,7 @@
         PoolCount {
             engines: 1,
             out: usize::from(engine.order.is_some()),
-            prefilling: usize::from(role.is_some_and(EngineRole::reads_prompts)),
+            prefilling: usize::from(role.is_some_and(EngineRole::prefills)),
             decoding: usize::from(role.is_some_and(EngineRole::generates)),
         }
     }
--- a/components/gateway/src/completion/placement.rs
+++ b/components/gateway/src/completion/placement.rs
@@ -32,10 +32,10 @@
         let mut decode = Vec::new();
         let mut limited = Vec::new();
         for engine in &engines {
-            if engine.role.reads_prompts() && engine.role.generates() {
+            if engine.role.prefills() && engine.role.generates() {
                 single.push(self.candidate(request, engine, Phase::Both));
             }
-            if engine.role.reads_prompts() {
+            if engine.role.prefills() {
                 prefill.push(self.candidate(request, engine, Phase::Prefill));
             }
             if engine.role.generates() {
--- a/components/gateway/src/gateway/availability.rs
+++ b/components/gateway/src/gateway/availability.rs
@@ -53,7 +53,7 @@
             Some(model) => {
                 let engines = engines_of(configuration, service, model);
                 let prefill_backoff =
-                    remaining_backoff_of(&engines, |candidate| candidate.role.reads_prompts());
+                    remaining_backoff_of(&engines, |candidate| candidate.role.prefills());
                 prefill_backoff.max(remaining_backoff_of(&engines, |candidate| {
                     candidate.role.generates()
                 }))
--- a/components/gateway/src/gateway/limits.rs
+++ b/components/gateway/src/gateway/limits.rs
@@ -160,7 +160,7 @@
         if request.model().is_none() {
             return capable_backends;
         }
-        let can_prefill = |candidate: &BackendRef<'_>| candidate.role.reads_prompts();
+        let can_prefill = |candidate: &BackendRef<'_>| candidate.role.prefills();
         let mut sendable = capable_backends
             .iter()
             .filter(|candidate| self.may_send(candidate.id));
--- a/components/stand-in/src/engine/mod.rs
+++ b/components/stand-in/src/engine/mod.rs
@@ -301,7 +301,7 @@
             return Err(JobRefusal::WrongModel);
         }
         let role = self.assignment.role;
-        let reads = !job.needs_prompt_read() || role.reads_prompts();
+        let reads = !job.needs_prompt_read() || role.prefills();
         let generates = !job.generates() || role.generates();
         if reads && generates {
             Ok(())
--- a/components/types/src/backend.rs
+++ b/components/types/src/backend.rs
@@ -29,7 +29,7 @@
 
 impl EngineRole {
     /// Whether the role may read prompts.
-    pub fn reads_prompts(self) -> bool {
+    pub fn prefills(self) -> bool {
         self != EngineRole::Decode
     }
 
