--- a/bin/garnet-gateway/src/callers.rs
+++ b/bin/garnet-gateway/src/callers.rs
@@ -60,7 +60,7 @@
             take(callers, request, Interface::Application).await
         }
         _ => {
-            let refusal = Refusal::rejected(OutcomeCode::NotFound, "unknown path");
+            let refusal = Refusal::permanent(OutcomeCode::NotFound, "unknown path");
             refusal_response(callers.next_id(), &refusal)
         }
     }
@@ -115,7 +115,7 @@
     let (service, rest) = path.split_once('/').unwrap_or((path, ""));
     if service.is_empty() {
         let message = "the path must be /services/{service}/{path}";
-        return Err(Refusal::rejected(OutcomeCode::Invalid, message));
+        return Err(Refusal::permanent(OutcomeCode::Invalid, message));
     }
     let query = head.uri.query().map(|query| format!("?{query}"));
     let path = format!("/{rest}{}", query.unwrap_or_default());
@@ -146,7 +146,7 @@
         BodyError::CutOff => "the body ended before it was whole",
         BodyError::TooSlow => "the body came too slowly",
     };
-    Refusal::rejected(OutcomeCode::Invalid, message)
+    Refusal::permanent(OutcomeCode::Invalid, message)
 }
 
 // ---- Running a call ----
--- a/bin/garnet-gateway/src/parse.rs
+++ b/bin/garnet-gateway/src/parse.rs
@@ -76,7 +76,7 @@
 }
 
 fn invalid(message: impl Into<String>) -> Refusal {
-    Refusal::rejected(OutcomeCode::Invalid, message)
+    Refusal::permanent(OutcomeCode::Invalid, message)
 }
 
 /// Reads the headers of a call.
@@ -112,7 +112,7 @@
         .map_err(|_| invalid("the header garnet-deadline-ms is no whole number"))?;
     if number <= 0 {
         let message = "the deadline has passed already";
-        return Err(Refusal::rejected(OutcomeCode::Deadline, message));
+        return Err(Refusal::permanent(OutcomeCode::Deadline, message));
     }
     Ok(Some(Millis(number.min(MAX_DEADLINE_MS) as u64)))
 }
--- a/components/gateway/src/claims.rs
+++ b/components/gateway/src/claims.rs
@@ -67,7 +67,7 @@
             }
             ClaimAnswer::BodyDiffers => {
                 let message = "the key was used before for another request";
-                let refusal = Refusal::rejected(OutcomeCode::Conflict, message);
+                let refusal = Refusal::permanent(OutcomeCode::Conflict, message);
                 self.finish(id, Answer::Refused(refusal));
             }
             ClaimAnswer::Full => {
--- a/components/gateway/src/gateway/arrival.rs
+++ b/components/gateway/src/gateway/arrival.rs
@@ -110,7 +110,7 @@
         let tenant = match (&call.tenant, session_tenant) {
             (Some(named), Some(owner)) if *named != owner => {
                 let message = format!("the session belongs to another tenant than {named}");
-                return Err(Refusal::rejected(OutcomeCode::Invalid, message));
+                return Err(Refusal::permanent(OutcomeCode::Invalid, message));
             }
             (named, owner) => named.clone().or(owner).unwrap_or(TenantId::new(ANONYMOUS)),
         };
@@ -125,7 +125,7 @@
 
     pub(super) fn find_session(&self, id: &SessionId) -> Result<&garnet_control::Session, Refusal> {
         self.watched.configuration.sessions.get(id).ok_or_else(|| {
-            Refusal::rejected(OutcomeCode::NotFound, format!("no session is named {id}"))
+            Refusal::permanent(OutcomeCode::NotFound, format!("no session is named {id}"))
         })
     }
 
@@ -149,7 +149,7 @@
             .next()
             .ok_or_else(|| {
                 let message = format!("no engine serves the model {model}");
-                Refusal::rejected(OutcomeCode::NotFound, message)
+                Refusal::permanent(OutcomeCode::NotFound, message)
             })
     }
 
@@ -159,7 +159,7 @@
             return Ok(service.clone());
         }
         let message = format!("no service is named {service}");
-        Err(Refusal::rejected(OutcomeCode::NotFound, message))
+        Err(Refusal::permanent(OutcomeCode::NotFound, message))
     }
 
     pub(super) fn apply_policy(&mut self, id: RequestId, tenant: TenantId, service: ServiceId) {
--- a/components/types/src/outcome.rs
+++ b/components/types/src/outcome.rs
@@ -97,7 +97,7 @@
     }
 
     /// A refusal of a request that is at fault itself: waiting won't help.
-    pub fn rejected(code: OutcomeCode, message: impl Into<String>) -> Self {
+    pub fn permanent(code: OutcomeCode, message: impl Into<String>) -> Self {
         Refusal {
             code,
             ran: Execution::No,
