--- a/components/limits/src/rate.rs
+++ b/components/limits/src/rate.rs
@@ -86,7 +86,7 @@
         let decimal = Decimal::parse(text, FRACTION_DIGITS).ok_or(RateError::NotDecimal)?;
         let max_micros = MAX_PER_S * MICROS_PER_REQUEST;
         Ok(RequestRate::from_micros_per_s(
-            decimal.parts.min(max_micros),
+            decimal.units.min(max_micros),
         ))
     }
 }
--- a/components/routing/src/retry_after.rs
+++ b/components/routing/src/retry_after.rs
@@ -90,7 +90,7 @@
 /// Parses a decimal number of seconds, rounded up to whole milliseconds.
 fn decimal_seconds(text: &str) -> Option<Millis> {
     let decimal = Decimal::parse(text, MILLIS_DIGITS)?;
-    Some(Millis(decimal.parts) + Millis(u64::from(decimal.is_cut)))
+    Some(Millis(decimal.units) + Millis(u64::from(decimal.is_truncated)))
 }
 
 fn http_date(value: &[u8]) -> Option<SystemTime> {
--- a/components/types/src/decimal.rs
+++ b/components/types/src/decimal.rs
@@ -1,13 +1,13 @@
 //! Unsigned decimal numbers as headers write them.
 
-/// A decimal number in parts of one: `parts` of them, and whether digits beyond were cut
+/// A decimal number in units of one: `units` of them, and whether digits beyond were cut
 /// off.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Decimal {
     /// The number, in the unit of its last digit that counts.
-    pub parts: u64,
+    pub units: u64,
     /// Whether any digit that was cut off is not zero.
-    pub is_cut: bool,
+    pub is_truncated: bool,
 }
 
 impl Decimal {
@@ -24,14 +24,14 @@
         }
         let zeros = std::iter::repeat(b'0');
         let counted = fraction.bytes().chain(zeros).take(fraction_digits);
-        let parts = whole.bytes().chain(counted).fold(0_u64, |sum, digit| {
+        let units = whole.bytes().chain(counted).fold(0_u64, |sum, digit| {
             sum.saturating_mul(10)
                 .saturating_add(u64::from(digit - b'0'))
         });
         let mut cut = fraction.bytes().skip(fraction_digits);
         Some(Decimal {
-            parts,
-            is_cut: cut.any(|digit| digit != b'0'),
+            units,
+            is_truncated: cut.any(|digit| digit != b'0'),
         })
     }
 }
