--- a/components/control/src/balancing.rs
+++ b/components/control/src/balancing.rs
@@ -515,7 +515,7 @@
         } else {
             decoding += 1;
             decode += occupied(backlog, limits);
-            busy_slots += limits.places(backlog.requests, backlog.held_tokens);
+            busy_slots += limits.effective_slots(backlog.requests, backlog.held_tokens);
         }
     }
     let idle = roles.decode.saturating_sub(decoding);
--- a/components/forwarding/src/forwarder/admission.rs
+++ b/components/forwarding/src/forwarder/admission.rs
@@ -150,7 +150,7 @@
         let share_ahead = self.fraction_ahead(service, route_priority);
         let queue = |backend: &Backend| {
             let requests = backend.load.requests(now);
-            let slots = limits.places(requests, backend.load.held_tokens(now));
+            let slots = limits.effective_slots(requests, backend.load.held_tokens(now));
             let excess = requests as f64 * share_ahead + 1.0 - slots;
             let mean_output = backend.load.mean_output_tokens();
             SlotQueue {
--- a/components/routes/src/table.rs
+++ b/components/routes/src/table.rs
@@ -110,7 +110,7 @@
 impl EngineLimits {
     /// Requests like those under way, which hold so many tokens together, that
     /// an engine takes at once: by its slots or by its memory.
-    pub fn places(&self, requests: u64, held_tokens: u64) -> f64 {
+    pub fn effective_slots(&self, requests: u64, held_tokens: u64) -> f64 {
         let request_tokens = held_tokens as f64 / requests.max(1) as f64;
         let by_memory = self.cache_tokens as f64 / request_tokens.max(1.0);
         by_memory.min(self.slots as f64)
--- a/components/routes/tests/limits.rs
+++ b/components/routes/tests/limits.rs
@@ -23,7 +23,7 @@
     #[case] held_tokens: u64,
     #[case] places: f64,
 ) {
-    assert_eq!(LIMITS.places(requests, held_tokens), places);
+    assert_eq!(LIMITS.effective_slots(requests, held_tokens), places);
 }
 
 #[test]
