--- a/components/routes/src/table.rs
+++ b/components/routes/src/table.rs
@@ -127,8 +127,8 @@
 
 impl PriceMilli {
     /// The price nearest to this part of the usual one; a negative one is none.
-    pub fn of_part(part: f64) -> Self {
-        PriceMilli((part * 1000.0).round() as u32)
+    pub fn from_fraction(fraction: f64) -> Self {
+        PriceMilli((fraction * 1000.0).round() as u32)
     }
 
     /// As a part of the usual price.
