--- a/components/control/src/fleet_sizing.rs
+++ b/components/control/src/fleet_sizing.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use garnet_planner::{EngineKind, FleetConstraints, ZoneFleet, target_fleet};
-use garnet_routes::{BuyingTerms, RouteTable, ServiceSettings};
+use garnet_routes::{RouteTable, ScalingSettings, ServiceSettings};
 use garnet_types::{BackendId, BackendKind, MachineState, Millis, ServiceId};
 
 use crate::duties::{Duty, DutyAnswer};
@@ -267,7 +267,7 @@
     }
 }
 
-fn fleet_terms(terms: &BuyingTerms) -> FleetConstraints {
+fn fleet_terms(terms: &ScalingSettings) -> FleetConstraints {
     FleetConstraints {
         min_per_zone: terms.least_in_zone,
         max_per_zone: terms.most_in_zone,
--- a/components/control/tests/state/fleet_size.rs
+++ b/components/control/tests/state/fleet_size.rs
@@ -9,7 +9,7 @@
     EngineObservation, Event, MachineEntry, ReplicaSettings, UNKNOWN_START,
 };
 use garnet_planner::EngineKind;
-use garnet_routes::{BuyingTerms, PriceMilli, RouteTable, ServiceSettings};
+use garnet_routes::{PriceMilli, RouteTable, ScalingSettings, ServiceSettings};
 use garnet_types::{
     BackendId, BackendKind, EngineRole, MachineState, Millis, ReplicaId, ServiceId,
 };
@@ -20,7 +20,7 @@
 const ZONES: [&str; 3] = ["a", "b", "c"];
 const STEP: Millis = Millis(1000);
 
-fn table(buying: Option<BuyingTerms>) -> Command {
+fn table(buying: Option<ScalingSettings>) -> Command {
     let service = ServiceSettings {
         name: ServiceId::new("words"),
         max_connections: 100,
@@ -37,8 +37,8 @@
     }
 }
 
-fn terms() -> BuyingTerms {
-    BuyingTerms {
+fn terms() -> ScalingSettings {
+    ScalingSettings {
         least_in_zone: 1,
         most_in_zone: 15,
         start_ms: Millis(4000),
@@ -73,7 +73,7 @@
 
 impl Provider {
     /// A provider with `dedicated` engines in each zone, and a service with these terms.
-    fn with(dedicated: u32, buying: Option<BuyingTerms>) -> Self {
+    fn with(dedicated: u32, buying: Option<ScalingSettings>) -> Self {
         let in_zone = |zone| ((zone, EngineKind::Dedicated), dedicated);
         Provider {
             leader: Leader::elected(settings(), vec![table(buying)]),
--- a/components/routes/src/lib.rs
+++ b/components/routes/src/lib.rs
@@ -16,7 +16,7 @@
 pub use document::read_document;
 pub use index::RouteIndex;
 pub use table::{
-    BuyingTerms, CallerLimits, EngineLimits, PriceMilli, Route, RouteTable, ServiceSettings,
+    CallerLimits, EngineLimits, PriceMilli, Route, RouteTable, ScalingSettings, ServiceSettings,
     WeightedService, WorkKind,
 };
 pub use tenant::{ApiKey, KeyDigest, KeyDigestError, Tenant};
--- a/components/routes/src/table.rs
+++ b/components/routes/src/table.rs
@@ -140,7 +140,7 @@
 /// On which terms engines of a service are bought and given back.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct BuyingTerms {
+pub struct ScalingSettings {
     /// Fewest engines of a zone, of all kinds together.
     pub least_in_zone: u32,
     /// Most engines of a zone, of all kinds together.
@@ -169,7 +169,7 @@
     pub engine: Option<EngineLimits>,
     /// How its engines are bought; `None` leaves the fleet as it is.
     #[serde(default)]
-    pub buying: Option<BuyingTerms>,
+    pub buying: Option<ScalingSettings>,
 }
 
 /// Bounds on what callers may send.
--- a/components/wire/tests/upgrade/samples/values.rs
+++ b/components/wire/tests/upgrade/samples/values.rs
@@ -185,7 +185,7 @@
 pub(super) fn full_table() -> RouteTable {
     let mut table = table(9);
     table.routes[0].public = true;
-    table.services[0].buying = Some(BuyingTerms {
+    table.services[0].buying = Some(ScalingSettings {
         least_in_zone: 1,
         most_in_zone: 5,
         start_ms: Millis(9000),
