--- a/components/forwarding/src/forwarder/connections.rs
+++ b/components/forwarding/src/forwarder/connections.rs
@@ -71,7 +71,7 @@
             return;
         };
         let service = &backend.registration.service;
-        let bound = self.routes.table().connection_bound(service);
+        let bound = self.routes.table().connection_limit(service);
         backend.connections = bound.map_or(ConnectionShare::unbounded(), |bound| {
             ConnectionShare::new(bound, gateways)
         });
--- a/components/routes/src/table.rs
+++ b/components/routes/src/table.rs
@@ -218,7 +218,7 @@
 impl RouteTable {
     /// Connections that one back end of a service takes from all gateways together, where
     /// the table has the service.
-    pub fn connection_bound(&self, service: &ServiceId) -> Option<u64> {
+    pub fn connection_limit(&self, service: &ServiceId) -> Option<u64> {
         let settings = self.services.iter().find(|s| s.name == *service)?;
         Some(settings.max_connections)
     }
