--- a/components/settings/src/reader.rs
+++ b/components/settings/src/reader.rs
@@ -71,7 +71,7 @@
             offset: 0,
             path: String::new(),
             known: Vec::new(),
-            leaves_unknown: false,
+            allows_unknown_keys: false,
         };
         let value = read(&mut reader);
         reader.finish();
@@ -88,14 +88,14 @@
     offset: usize,
     path: String,
     known: Vec<&'static str>,
-    leaves_unknown: bool,
+    allows_unknown_keys: bool,
 }
 
 impl<'a> TableReader<'a> {
     /// Leaves keys aside that were never asked for, here and in the tables that
     /// are read from here on: for documents that others extend.
-    pub fn leave_unknown(&mut self) {
-        self.leaves_unknown = true;
+    pub fn allow_unknown_keys(&mut self) {
+        self.allows_unknown_keys = true;
     }
 
     /// Text at `key`.
@@ -293,7 +293,7 @@
             offset,
             path,
             known: Vec::new(),
-            leaves_unknown: self.leaves_unknown,
+            allows_unknown_keys: self.allows_unknown_keys,
         };
         let value = read(&mut child);
         child.finish();
@@ -301,7 +301,7 @@
     }
 
     fn finish(&self) {
-        if self.leaves_unknown {
+        if self.allows_unknown_keys {
             return;
         }
         for key in self.table.keys() {
