--- a/bin/garnet-standin/src/engine.rs
+++ b/bin/garnet-standin/src/engine.rs
@@ -10,11 +10,13 @@
 use garnet_engine_api::{
     DRAINING, DRAINING_HEADER, Faults, GenerateEvent, GenerateRequest, KvExport, KvLocation,
     LIMIT_HEADER, NOT_STARTED, NotStarted, PrefillRequest, PrefillResponse, REASON_NO_KV,
-    REFUSED_STATUS, RETRY_AFTER_HEADER, STARTED_HEADER, event, paths,
+    REJECTED_STATUS, RETRY_AFTER_HEADER, STARTED_HEADER, event, paths,
 };
 use garnet_runtime::server::{channel_body, set_header};
 use garnet_runtime::{Body, Clock, HttpClient, client, json_response, text_response};
-use garnet_stand_in::{EngineSettings, EngineStandIn, JobId, JobOutput, JobRefusal, SubmittedJob};
+use garnet_stand_in::{
+    EngineSettings, EngineStandIn, JobId, JobOutput, JobRejection, SubmittedJob,
+};
 use garnet_storage::{DiskDirectory, load_value, save_value};
 use garnet_supervisor::{ChildError, ChildSpec, Restart, StopSignal};
 use garnet_types::{
@@ -278,7 +280,7 @@
 fn submit(
     context: &Context,
     job: SubmittedJob,
-) -> Result<(JobGuard, Receiver<JobOutput>), JobRefusal> {
+) -> Result<(JobGuard, Receiver<JobOutput>), JobRejection> {
     let now = context.clock.now();
     let (sender, receiver) = unbounded();
     let mut engine = context.engine.borrow_mut();
@@ -384,11 +386,11 @@
     answer.is_ok_and(|answer| answer.status().is_success())
 }
 
-fn refusal_reason(refusal: JobRefusal) -> &'static str {
+fn refusal_reason(refusal: JobRejection) -> &'static str {
     match refusal {
-        JobRefusal::Draining => "draining",
-        JobRefusal::WrongModel => "wrong_model",
-        JobRefusal::WrongRole => "wrong_role",
+        JobRejection::Draining => "draining",
+        JobRejection::WrongModel => "wrong_model",
+        JobRejection::WrongRole => "wrong_role",
     }
 }
 
@@ -396,7 +398,7 @@
     let body = NotStarted {
         reason: reason.to_owned(),
     };
-    let mut response = json_response(REFUSED_STATUS, &body);
+    let mut response = json_response(REJECTED_STATUS, &body);
     set_header(&mut response, STARTED_HEADER, NOT_STARTED);
     response
 }
--- a/components/engine-api/src/lib.rs
+++ b/components/engine-api/src/lib.rs
@@ -26,7 +26,7 @@
 /// Value of [`STARTED_HEADER`] that says so.
 pub const NOT_STARTED: &str = "no";
 /// Status of such a response from an engine.
-pub const REFUSED_STATUS: u16 = 409;
+pub const REJECTED_STATUS: u16 = 409;
 
 /// Paths of an engine.
 pub mod paths {
--- a/components/simulator/src/world/engines.rs
+++ b/components/simulator/src/world/engines.rs
@@ -2,7 +2,7 @@
 
 use garnet_control::EngineRequest;
 use garnet_gateway::{AttemptEvent, Job};
-use garnet_stand_in::{JobOutput, JobRefusal, SubmittedJob};
+use garnet_stand_in::{JobOutput, JobRejection, SubmittedJob};
 use garnet_types::{BackendId, OrderAnswer, RequestId};
 
 use crate::message::{Host, Message};
@@ -157,7 +157,8 @@
             Err(refusal) => {
                 self.say_limit(host, owner);
                 self.report_draining(host, owner);
-                let draining = refusal == JobRefusal::Draining || refusal == JobRefusal::WrongRole;
+                let draining =
+                    refusal == JobRejection::Draining || refusal == JobRejection::WrongRole;
                 self.job_event(host, owner, AttemptEvent::NotStarted { draining });
             }
         }
--- a/components/stand-in/src/engine/jobs.rs
+++ b/components/stand-in/src/engine/jobs.rs
@@ -63,7 +63,7 @@
 
 /// Why a job was not begun.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum JobRefusal {
+pub enum JobRejection {
     /// The engine takes no new work on purpose.
     Draining,
     /// Another model is loaded.
--- a/components/stand-in/src/engine/mod.rs
+++ b/components/stand-in/src/engine/mod.rs
@@ -18,7 +18,7 @@
 use crate::prefix_cache::PrefixCache;
 
 use iterations::Iteration;
-pub use jobs::{JobId, JobOutput, JobRefusal, SubmittedJob};
+pub use jobs::{JobId, JobOutput, JobRejection, SubmittedJob};
 
 /// Microseconds in a millisecond: iterations are shorter than a millisecond.
 const MICROS: u64 = 1000;
@@ -183,7 +183,7 @@
     ///
     /// # Errors
     /// When the engine provably does not begin it.
-    pub fn submit(&mut self, job: SubmittedJob, now: Millis) -> Result<JobId, JobRefusal> {
+    pub fn submit(&mut self, job: SubmittedJob, now: Millis) -> Result<JobId, JobRejection> {
         self.check(&job)?;
         self.next_job += 1;
         let id = JobId(self.next_job);
@@ -293,12 +293,12 @@
         !self.draining && self.changing.is_none()
     }
 
-    fn check(&self, job: &SubmittedJob) -> Result<(), JobRefusal> {
+    fn check(&self, job: &SubmittedJob) -> Result<(), JobRejection> {
         if !self.accepts_work() {
-            return Err(JobRefusal::Draining);
+            return Err(JobRejection::Draining);
         }
         if job.model() != self.assignment.model.as_str() {
-            return Err(JobRefusal::WrongModel);
+            return Err(JobRejection::WrongModel);
         }
         let role = self.assignment.role;
         let reads = !job.needs_prompt_read() || role.prefills();
@@ -306,7 +306,7 @@
         if reads && generates {
             Ok(())
         } else {
-            Err(JobRefusal::WrongRole)
+            Err(JobRejection::WrongRole)
         }
     }
 
--- a/components/stand-in/src/lib.rs
+++ b/components/stand-in/src/lib.rs
@@ -11,5 +11,5 @@
 pub mod text;
 
 pub use application::ApplicationStandIn;
-pub use engine::{EngineSettings, EngineStandIn, JobId, JobOutput, JobRefusal, SubmittedJob};
+pub use engine::{EngineSettings, EngineStandIn, JobId, JobOutput, JobRejection, SubmittedJob};
 pub use platform::{PlatformStandIn, WeightStore};
