--- a/bin/garnet-gateway/src/callers.rs
+++ b/bin/garnet-gateway/src/callers.rs
@@ -3,7 +3,7 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-use garnet_engine_api::event;
+use garnet_engine_api::encode_event;
 use garnet_gateway::{Answer, Call, Event, Work, openai};
 use garnet_runtime::metrics::{self, Sample};
 use garnet_runtime::server::{BodyError, channel_body, read_body, set_header, with_type};
@@ -219,7 +219,7 @@
 /// Sends one message of a stream. `false` when the caller has left.
 async fn send_message(call: &Call, message: CallerMessage, chunks: &Sender<Bytes>) -> bool {
     let mut bytes = Vec::new();
-    let mut add = |data: &str| bytes.extend_from_slice(&event(data));
+    let mut add = |data: &str| bytes.extend_from_slice(&encode_event(data));
     match message {
         CallerMessage::Tokens(tokens) => {
             add(&openai::chunk_body(call, &tokens.concat()).to_string());
--- a/bin/garnet-standin/src/engine.rs
+++ b/bin/garnet-standin/src/engine.rs
@@ -10,7 +10,7 @@
 use garnet_engine_api::{
     DRAINING, DRAINING_HEADER, Faults, GenerateEvent, GenerateRequest, KvExport, KvLocation,
     LIMIT_HEADER, NOT_STARTED, NotStarted, PrefillRequest, PrefillResponse, REASON_NO_KV,
-    REJECTED_STATUS, RETRY_AFTER_HEADER, STARTED_HEADER, event, paths,
+    REJECTED_STATUS, RETRY_AFTER_HEADER, STARTED_HEADER, encode_event, paths,
 };
 use garnet_runtime::server::{channel_body, set_header};
 use garnet_runtime::{Body, Clock, HttpClient, client, json_response, text_response};
@@ -371,7 +371,7 @@
             JobOutput::Prefilled { .. } => continue,
         };
         let line = serde_json::to_string(&message).unwrap_or_default();
-        let sent = chunks.send(Bytes::from(event(&line))).await;
+        let sent = chunks.send(Bytes::from(encode_event(&line))).await;
         if sent.is_err() || ends {
             break;
         }
--- a/components/engine-api/src/events.rs
+++ b/components/engine-api/src/events.rs
@@ -25,6 +25,6 @@
 }
 
 /// One event's bytes.
-pub fn event(data: &str) -> Vec<u8> {
+pub fn encode_event(data: &str) -> Vec<u8> {
     format!("data: {data}\n\n").into_bytes()
 }
--- a/components/engine-api/src/lib.rs
+++ b/components/engine-api/src/lib.rs
@@ -5,7 +5,7 @@
 
 mod events;
 
-pub use events::{EventReader, event};
+pub use events::{EventReader, encode_event};
 
 use garnet_control::BackendRegistration;
 use garnet_types::{Class, MachineState};
