--- a/components/forwarding-shell/src/request.rs
+++ b/components/forwarding-shell/src/request.rs
@@ -1,4 +1,4 @@
-//! One request, from its head to its final answer.
+//! The life cycle of a request, from its head to its final answer.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -14,50 +14,51 @@
 use hyper::{Request, Response};
 
 use crate::answers::{OwnAnswer, retry_after};
+use crate::failover::is_quarantined;
 use crate::gateway::Gateway;
-use crate::going_on::is_refused;
 use crate::headers::remove_connection_headers;
-use crate::permits::{all_in_backoff, ask_for_spare};
+use crate::permits::{all_in_backoff, request_spare_permit};
 use crate::ports::{BackendPort, Call, CallFacts, CallerPort};
-use crate::{stream, whole};
+use crate::{buffered, stream};
 
-/// Longest time to read a body when nothing else bounds it.
-const BODY_TIME: Duration = Duration::from_secs(20);
+/// Longest time to read the body of a request.
+const BODY_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// The clock tells whole milliseconds, rounded down: a span that is counted from
-/// such a moment is surely over one step later.
+/// Resolution of the clock, which rounds down. A time span measured from a clock reading has
+/// surely passed one step after its nominal end.
 const CLOCK_STEP: Millis = Millis(1);
 
-/// A caller that gives less than this part of the route's time has used the
-/// rest before: it was here already.
-const FIRST_CALL_TIME: f64 = 0.95;
+/// A caller that leaves less than this fraction of the route's timeout has probably spent
+/// the rest on an earlier try, so its request counts as a retry.
+const FIRST_CALL_MIN_FRACTION: f64 = 0.95;
 
-/// A request under way and what became of it so far.
-pub(crate) struct Running {
+/// A request in flight and its progress.
+pub(crate) struct RunningRequest {
     pub(crate) call: Rc<Call>,
     pub(crate) route: Route,
     pub(crate) service: ServiceId,
     pub(crate) work: Work,
     pub(crate) silence: SilenceLimits,
     pub(crate) arrived: Millis,
-    /// When its time is surely over.
+    /// When the request has surely timed out.
     pub(crate) due: Millis,
     pub(crate) progress: Progress,
     pub(crate) tried: Vec<BackendId>,
     pub(crate) served_by: Option<BackendId>,
-    /// Set when it has been counted as begun.
+    /// Whether usage has counted the request.
     pub(crate) begun: Rc<Cell<bool>>,
     ended: Cell<bool>,
-    _open: OpenRequest,
+    _open: OpenRequestGuard,
 }
 
-impl Running {
-    /// Whether another back end may be tried after one that is silent now.
-    pub(crate) fn may_move_on(&self) -> bool {
+impl RunningRequest {
+    /// Whether another back end may be tried if the current one is silent.
+    pub(crate) fn may_fail_over(&self) -> bool {
         self.work.kind.may_repeat() && self.progress.ran + 1 < self.work.max_attempts
     }
 
-    /// Whether a run now would break no promise.
+    /// Whether the request may run now without exceeding what its kind and maximum number of
+    /// attempts allow.
     pub(crate) fn may_run_again(&self) -> bool {
         let Progress { ran, silent, .. } = self.progress;
         let may_repeat = self.work.kind.may_repeat() && ran + silent < self.work.max_attempts;
@@ -68,42 +69,43 @@
         self.due.since(now + CLOCK_STEP)
     }
 
-    /// Whether no back end was sent it yet.
+    /// Whether the request has not been sent to any back end.
     pub(crate) fn is_untried(&self) -> bool {
         self.progress == Progress::default() && self.tried.is_empty()
     }
 
-    /// As admission sees it; its caller waits for `longest_gap` for an event.
+    /// The request's arrival for admission; its caller waits at most `longest_gap` for an
+    /// event.
     pub(crate) fn arrival(&self, longest_gap: Millis, now: Millis) -> Arrival {
         let given = self.remaining(self.arrived);
-        let whole = self.route.timeout_ms.0 as f64;
+        let route_timeout = self.route.timeout_ms.0 as f64;
         Arrival {
             waited: now.since(self.arrived),
             remaining: self.remaining(now).min(longest_gap),
             deadline: self.remaining(now),
-            is_retry: (given.0 as f64) < whole * FIRST_CALL_TIME,
+            is_retry: (given.0 as f64) < route_timeout * FIRST_CALL_MIN_FRACTION,
         }
     }
 }
 
 /// Counts a request as open until it is dropped.
-pub(crate) struct OpenRequest(Rc<Cell<usize>>);
+pub(crate) struct OpenRequestGuard(Rc<Cell<usize>>);
 
-impl OpenRequest {
+impl OpenRequestGuard {
     fn begin(open: &Rc<Cell<usize>>) -> Self {
         open.set(open.get() + 1);
-        OpenRequest(Rc::clone(open))
+        OpenRequestGuard(Rc::clone(open))
     }
 }
 
-impl Drop for OpenRequest {
+impl Drop for OpenRequestGuard {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
 }
 
-/// A request that is dropped before its end was left by its caller.
-impl Drop for Running {
+/// A request that is dropped before its end was abandoned by its caller.
+impl Drop for RunningRequest {
     fn drop(&mut self) {
         if self.ended.get() {
             return;
@@ -133,8 +135,8 @@
     let (head, body) = request.into_parts();
     let facts = match gateway.callers.read(&head) {
         Ok(facts) => facts,
-        Err(finding) => {
-            // Who waits to be told to go on sends nothing yet.
+        Err(problem) => {
+            // A caller that expects `100 Continue` has not sent its body.
             if !head.headers.contains_key(EXPECT) {
                 discard_body(body).await;
             }
@@ -142,7 +144,7 @@
                 &gateway,
                 &CallFacts::default(),
                 OwnAnswer::BadRequest,
-                &finding,
+                &problem,
             );
         }
     };
@@ -155,28 +157,28 @@
         Ok(running) => running,
         Err(refused) => return refuse(&gateway, &refused.0, refused.1, ""),
     };
-    if is_refused(&gateway, &running.call) {
+    if is_quarantined(&gateway, &running.call) {
         let answer = refuse_quarantined(&gateway, &running);
-        return with_leave(&gateway, answer);
+        return with_connection_close(&gateway, answer);
     }
-    ask_for_spare(&gateway, &running);
+    request_spare_permit(&gateway, &running);
     let response = if running.work.kind.is_stream() {
         stream::serve(&gateway, running).await
     } else {
-        whole::serve(&gateway, running).await
+        buffered::serve(&gateway, running).await
     };
-    with_leave(&gateway, response)
+    with_connection_close(&gateway, response)
 }
 
-/// Finds the route and the caller's tenant, and begins. The refusal where
-/// there is none.
+/// Finds the route and the caller's tenant, and creates the running request. Returns the
+/// gateway's own answer if there is no route or the caller is not authenticated.
 fn begin<C: CallerPort, B: BackendPort>(
     gateway: &Rc<Gateway<C, B>>,
     mut head: hyper::http::request::Parts,
     mut facts: CallFacts,
     body: Bytes,
     arrived: Millis,
-) -> Result<Running, Box<(CallFacts, OwnAnswer)>> {
+) -> Result<RunningRequest, Box<(CallFacts, OwnAnswer)>> {
     let mut forwarder = gateway.forwarder.borrow_mut();
     let Some(choice) = forwarder.route(&facts.host, head.uri.path()) else {
         let answer = if forwarder.is_confirmed() && forwarder.routes_version().is_some() {
@@ -220,7 +222,7 @@
         prompt: facts.prompt.clone(),
         is_deferred: false,
     };
-    Ok(Running {
+    Ok(RunningRequest {
         call: Rc::new(Call::new(
             facts,
             head,
@@ -238,14 +240,14 @@
         served_by: None,
         begun: Rc::default(),
         ended: Cell::new(false),
-        _open: OpenRequest::begin(&gateway.open_requests),
+        _open: OpenRequestGuard::begin(&gateway.open_requests),
     })
 }
 
 fn body_limits(limits: CallerLimits) -> Limits {
     Limits {
         body_bytes: usize::try_from(limits.max_body_bytes).unwrap_or(usize::MAX),
-        body_time: BODY_TIME,
+        body_time: BODY_TIMEOUT,
         ..Limits::default()
     }
 }
@@ -258,10 +260,10 @@
     }
 }
 
-/// Refuses a request that crashes engines, before any of them sees it.
+/// Refuses a quarantined request, before it reaches an engine.
 fn refuse_quarantined<C: CallerPort, B: BackendPort>(
     gateway: &Gateway<C, B>,
-    running: &Running,
+    running: &RunningRequest,
 ) -> Response<Body> {
     let fingerprint = running.call.fingerprint();
     let refused_for = {
@@ -277,8 +279,8 @@
     own_answer(gateway, running, OwnAnswer::Quarantined(refused_for))
 }
 
-/// A back end began to run the request at `began`; repeats count as one, which
-/// `begun` tells.
+/// Counts in usage that a back end began to run the request at `began`. `begun` is set then,
+/// so that repeats are not counted again.
 pub(crate) fn note_begun<C: CallerPort, B: BackendPort>(
     gateway: &Gateway<C, B>,
     call: &Call,
@@ -290,12 +292,15 @@
     }
 }
 
-/// Ends at the moment `due`.
-pub(crate) async fn until<C: CallerPort, B: BackendPort>(gateway: &Gateway<C, B>, due: Millis) {
+/// Waits until `due`.
+pub(crate) async fn sleep_until_due<C: CallerPort, B: BackendPort>(
+    gateway: &Gateway<C, B>,
+    due: Millis,
+) {
     gateway.timers.sleep_until(due).await;
 }
 
-/// An answer of the gateway's own to a request that got no route.
+/// The gateway's own answer to a request that is refused before it is routed.
 fn refuse<C: CallerPort, B: BackendPort>(
     gateway: &Gateway<C, B>,
     facts: &CallFacts,
@@ -313,13 +318,13 @@
     gateway.metrics.refused(answer.as_str());
     let mut response = answer.response(detail);
     gateway.callers.mark(&mut response, facts);
-    with_leave(gateway, response)
+    with_connection_close(gateway, response)
 }
 
-/// The answer to a request that is given up.
+/// The answer to a request that was given up.
 pub(crate) fn given_up_answer<C: CallerPort, B: BackendPort>(
     gateway: &Gateway<C, B>,
-    running: &Running,
+    running: &RunningRequest,
     given_up: GivenUp,
 ) -> OwnAnswer {
     match given_up {
@@ -332,22 +337,22 @@
     }
 }
 
-/// The final answer of the gateway's own to a request under way.
+/// The gateway's own final answer to a request in flight.
 pub(crate) fn own_answer<C: CallerPort, B: BackendPort>(
     gateway: &Gateway<C, B>,
-    running: &Running,
+    running: &RunningRequest,
     answer: OwnAnswer,
 ) -> Response<Body> {
-    finished(gateway, running, answer.as_str(), 0);
+    record_end(gateway, running, answer.as_str(), 0);
     let mut response = answer.response("");
     gateway.callers.mark(&mut response, &running.call.facts);
     response
 }
 
 /// Logs and counts the end of a request.
-pub(crate) fn finished<C: CallerPort, B: BackendPort>(
+pub(crate) fn record_end<C: CallerPort, B: BackendPort>(
     gateway: &Gateway<C, B>,
-    running: &Running,
+    running: &RunningRequest,
     outcome: &str,
     status: u16,
 ) {
@@ -373,10 +378,10 @@
         .request(&running.route.name, running.work.kind, outcome, took);
 }
 
-/// Tells that no back end can take a request, and what is known of them.
+/// Logs that no back end can take a request, and how many are open and known.
 pub(crate) fn log_no_back_end<C: CallerPort, B: BackendPort>(
     gateway: &Gateway<C, B>,
-    running: &Running,
+    running: &RunningRequest,
 ) {
     let now = gateway.now();
     let forwarder = gateway.forwarder.borrow();
@@ -392,8 +397,8 @@
     );
 }
 
-/// Asks the caller to leave during a planned stop.
-fn with_leave<C: CallerPort, B: BackendPort>(
+/// Asks the caller to close its connection during a planned stop.
+fn with_connection_close<C: CallerPort, B: BackendPort>(
     gateway: &Gateway<C, B>,
     mut response: Response<Body>,
 ) -> Response<Body> {
--- a/components/forwarding-shell/src/stream/mod.rs
+++ b/components/forwarding-shell/src/stream/mod.rs
@@ -1,10 +1,10 @@
-//! Streams of events: passed on as they arrive, taken up by another engine
-//! where the route allows it.
+//! Streams of events, passed on as they arrive and resumed at another engine if the route
+//! allows it.
 
 mod cut;
 mod engine_run;
-mod placing;
-mod reading;
+mod placement;
+mod prefill;
 mod search;
 mod successor;
 
@@ -13,44 +13,49 @@
 use futures_lite::stream::unfold;
 use garnet_routes::WorkKind;
 use garnet_runtime::Body;
-use garnet_runtime::server::{BodyCut, stream_body};
+use garnet_runtime::server::{BodyAborted, stream_body};
 use garnet_types::{BackendId, Millis};
 use hyper::Response;
 use hyper::body::Bytes;
 
 use crate::answers::OwnAnswer;
+use crate::buffered::copy_head;
 use crate::gateway::Gateway;
 use crate::ports::{BackendPort, CallerPort};
-use crate::request::{Running, finished, given_up_answer, note_begun, own_answer, until};
-use crate::waiting::within;
-use crate::whole::copy_head;
+use crate::request::{
+    RunningRequest, given_up_answer, note_begun, own_answer, record_end, sleep_until_due,
+};
+use crate::timeout::with_timeout;
 
 use cut::CutCause;
-use engine_run::{EngineRun, Heard};
-use search::{Found, Refused, Search};
+use engine_run::{EngineRun, Received};
+use search::{Found, NotStreamed, Search};
 
-/// A stream under way.
+/// A stream whose answer has begun.
 struct Stream<C: CallerPort + 'static, B: BackendPort + 'static> {
     gateway: Rc<Gateway<C, B>>,
     search: Search<C, B>,
-    /// The engine that answers; `None` when it has come to its end or is gone.
+    /// The engine that answers; `None` after its answer has ended or broken off.
     run: Option<EngineRun<C, B>>,
     /// When the last event came.
     last_event_at: Millis,
-    /// How the last engine that broke off or was left ended.
+    /// How the last engine that did not finish the answer ended.
     engine_end: String,
     ended: bool,
 }
 
-/// What comes next of a stream.
+/// The next step of a stream.
 enum Next {
     Event(Bytes),
     End,
     Cut(CutCause),
 }
 
-/// Serves the request until its time is over.
-pub(crate) async fn serve<C, B>(gateway: &Rc<Gateway<C, B>>, running: Running) -> Response<Body>
+/// Serves the request until it times out.
+pub(crate) async fn serve<C, B>(
+    gateway: &Rc<Gateway<C, B>>,
+    running: RunningRequest,
+) -> Response<Body>
 where
     C: CallerPort + 'static,
     B: BackendPort + 'static,
@@ -59,24 +64,24 @@
     let mut search = Search::new(gateway, running);
     let opening = async { Some(search.find_run().await) };
     let late = async {
-        until(gateway, due).await;
+        sleep_until_due(gateway, due).await;
         None
     };
     let found = smol::future::or(opening, late).await;
     let failure = search.take_failure();
-    let found = found.map(|found| found.map_err(|refused| refused.or_answered(failure)));
+    let found = found.map(|found| found.map_err(|not_streamed| not_streamed.or_answered(failure)));
     match found {
         Some(Ok(found)) => Stream::new(gateway, search).answer(found),
-        Some(Err(Refused::GivenUp(given_up))) => {
+        Some(Err(NotStreamed::GivenUp(given_up))) => {
             let answer = given_up_answer(gateway, &search.running, given_up);
             own_answer(gateway, &search.running, answer)
         }
-        Some(Err(Refused::Busy(retry_after))) => {
+        Some(Err(NotStreamed::Busy(retry_after))) => {
             own_answer(gateway, &search.running, OwnAnswer::NotRun(retry_after))
         }
-        Some(Err(Refused::Answered(response))) => {
+        Some(Err(NotStreamed::Answered(response))) => {
             let status = response.status().as_u16();
-            finished(gateway, &search.running, "answered", status);
+            record_end(gateway, &search.running, "answered", status);
             *response
         }
         None => own_answer(gateway, &search.running, OwnAnswer::TimedOut),
@@ -95,11 +100,11 @@
         }
     }
 
-    /// The answer with its first event and all that follow.
+    /// Builds the answer from its first event and those that follow.
     fn answer(mut self, found: Found<C, B>) -> Response<Body> {
         let head = copy_head(found.run.head());
         self.run = Some(found.run);
-        let first = self.take(found.first);
+        let first = self.on_received(found.first);
         self.log_begun();
         let state = (self, Some(first));
         let events = unfold(Some(state), |state| async move {
@@ -111,13 +116,13 @@
             match next {
                 Next::Event(event) => Some((Ok(event), Some((stream, None)))),
                 Next::End => {
-                    finished(&stream.gateway, &stream.search.running, "streamed", 200);
+                    record_end(&stream.gateway, &stream.search.running, "streamed", 200);
                     None
                 }
                 Next::Cut(cause) => {
                     stream.note_cut(cause);
-                    finished(&stream.gateway, &stream.search.running, "cut", 200);
-                    Some((Err(BodyCut::BackendBroke), None))
+                    record_end(&stream.gateway, &stream.search.running, "cut", 200);
+                    Some((Err(BodyAborted::BackendDisconnected), None))
                 }
             }
         });
@@ -125,7 +130,7 @@
     }
 
     fn log_begun(&self) {
-        let Running {
+        let RunningRequest {
             call,
             route,
             work,
@@ -148,12 +153,12 @@
         );
     }
 
-    /// The next whole events, from another engine where this one broke off.
+    /// Returns the next complete events, from another engine if this one broke off.
     async fn next(&mut self) -> Next {
         let due = self.search.running.due;
         let gateway = Rc::clone(&self.gateway);
         let late = async {
-            until(&gateway, due).await;
+            sleep_until_due(&gateway, due).await;
             Next::Cut(CutCause::TimeOver)
         };
         smol::future::or(self.next_or_resume(), late).await
@@ -168,17 +173,17 @@
             let Some(run) = &mut self.run else {
                 return Next::Cut(CutCause::NoSuccessor);
             };
-            match within(time_limit, run.next()).await {
-                Some(Heard::Broke(cause)) => {
+            match with_timeout(time_limit, run.next()).await {
+                Some(Received::Broke(cause)) => {
                     self.note_broken(&cause);
-                    if !self.may_be_taken_up() {
+                    if !self.can_resume() {
                         return Next::Cut(CutCause::EngineBroke);
                     }
-                    return self.go_on_after_break().await;
+                    return self.resume_after_break().await;
                 }
-                Some(heard) => return self.take(heard),
+                Some(received) => return self.on_received(received),
                 None => {
-                    if let Some(next) = self.go_on_beside().await {
+                    if let Some(next) = self.resume_hedged().await {
                         return next;
                     }
                 }
@@ -186,48 +191,47 @@
         }
     }
 
-    /// Takes what the present engine said.
-    fn take(&mut self, heard: Heard) -> Next {
-        match heard {
-            Heard::Event(event) => {
+    /// Handles what the current engine sent.
+    fn on_received(&mut self, received: Received) -> Next {
+        match received {
+            Received::Event(event) => {
                 let now = self.gateway.now();
                 self.last_event_at = now;
-                let Running { call, begun, .. } = &self.search.running;
+                let RunningRequest { call, begun, .. } = &self.search.running;
                 note_begun(&self.gateway, call, begun, now);
                 let last_id = self.run.as_ref().and_then(EngineRun::last_id);
                 self.search.resume_after = last_id.map(str::to_owned);
                 Next::Event(event)
             }
-            Heard::End => {
+            Received::End => {
                 if let Some(run) = self.run.take() {
                     run.ended(&self.search.running.call);
                 }
                 self.ended = true;
                 Next::End
             }
-            Heard::Broke(cause) => {
+            Received::Broke(cause) => {
                 self.note_broken(&cause);
                 Next::Cut(CutCause::EngineBroke)
             }
         }
     }
 
-    /// Whether another engine may go on after the last event: one that can't be
-    /// told which that was would begin anew.
-    fn may_be_taken_up(&self) -> bool {
+    /// Whether another engine may resume after the last event. Without the id of that event
+    /// an engine would start again from the beginning.
+    fn can_resume(&self) -> bool {
         let kind = self.search.running.work.kind;
         kind == WorkKind::ResumableStream && self.search.resume_after.is_some()
     }
 
-    /// How long the next event is waited for before another engine is asked.
+    /// How long to wait for the next event before another engine is asked.
     fn event_timeout(&self) -> Option<Millis> {
-        let may_move_on = self.may_be_taken_up() && self.search.running.may_move_on();
-        may_move_on.then_some(self.search.running.silence.pause)
+        let may_fail_over = self.can_resume() && self.search.running.may_fail_over();
+        may_fail_over.then_some(self.search.running.silence.pause)
     }
 
-    /// The engine broke off. Its connection is closed, which ends its work, and
-    /// what it sent of an event that is not whole is void: the next engine
-    /// begins that event anew.
+    /// Handles an engine that broke off. Its connection is closed, which ends its work. An
+    /// incomplete event is dropped, since the next engine sends that event from its start.
     fn note_broken(&mut self, cause: &str) {
         if let Some(run) = self.run.take() {
             run.broke_off(&self.search.running.call);
--- a/components/runtime/src/control_link.rs
+++ b/components/runtime/src/control_link.rs
@@ -10,42 +10,43 @@
 use smol::Timer;
 use smol::channel::Receiver;
 
-use crate::connect_time::ConnectTime;
+use crate::connect_timeout::ConnectTimeout;
 use crate::frames::{self, FrameReader, FrameWriter};
-use crate::offers::{Offers, time_to_offer_again};
+use crate::version_offers::{VersionOffers, wait_to_reoffer};
 
-/// A replica that answers nothing for so long is left for the next one.
-const SILENCE: Duration = Duration::from_millis(1200);
-const PAUSE: Duration = Duration::from_millis(50);
+/// A connection to a replica that sends nothing for this time is closed.
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(1200);
+/// Pause between two connections.
+const RECONNECT_DELAY: Duration = Duration::from_millis(50);
 
-/// Who keeps the connection.
-pub trait ControlLinkOwner: Clone + 'static {
-    /// Addresses of the replicas as they are known now.
+/// Handles the events of the connection.
+pub trait ControlLinkHandler: Clone + 'static {
+    /// The currently known addresses of the replicas.
     fn replicas(&self) -> Vec<String>;
-    /// A connection is open and speaks this version; what is to be asked first may be
-    /// queued.
-    fn connected(&self, _version: EncodingVersion) {}
-    /// Takes a reply of the leader.
-    fn heard(&self, reply: ControlReply);
-    /// Takes what a replica knew last while there is no leader.
-    fn heard_last_known(&self, _configuration: Arc<Configuration>) {}
+    /// Called when a connection with this version is open. Initial requests may be queued
+    /// here.
+    fn on_connected(&self, _version: EncodingVersion) {}
+    /// Handles a reply from the leader.
+    fn on_reply(&self, reply: ControlReply);
+    /// Handles the last configuration that a replica knows, sent while there is no leader.
+    fn on_last_known(&self, _configuration: Arc<Configuration>) {}
 }
 
-/// Why a connection was left.
-enum Left {
-    /// Another replica leads.
+/// Why a connection ended.
+enum Disconnect {
+    /// The replica is not the leader; it may name the leader.
     NotLeader(Option<String>),
-    /// It broke, or nothing was heard.
+    /// The connection failed, or nothing was received before the timeout.
     Lost,
-    /// It was closed before anything was received.
+    /// The connection was closed before anything was received.
     Refused,
-    /// It speaks an earlier version, and a later one may be spoken there now.
-    OfferAgain,
+    /// It uses an earlier version, and the replica may support a later one by now.
+    Reoffer,
 }
 
-/// A child that keeps a connection to the leader and sends what is queued.
-pub fn child<O: ControlLinkOwner>(
-    owner: O,
+/// A child that keeps a connection to the leader and sends the queued requests.
+pub fn child<O: ControlLinkHandler>(
+    handler: O,
     id: GatewayId,
     requests: Receiver<GatewayRequest>,
 ) -> ChildSpec {
@@ -54,13 +55,13 @@
         Restart::Permanent,
         move |stop: StopSignal| {
             let mut link = Link {
-                owner: owner.clone(),
+                handler: handler.clone(),
                 id: id.clone(),
                 requests: requests.clone(),
                 position: 0,
-                in_touch: false,
-                connect_time: ConnectTime::default(),
-                offers: Offers::default(),
+                is_connected: false,
+                connect_timeout: ConnectTimeout::default(),
+                offers: VersionOffers::default(),
             };
             async move {
                 smol::future::or(link.run(), stop.stopped()).await;
@@ -71,58 +72,60 @@
 }
 
 struct Link<O> {
-    owner: O,
+    handler: O,
     id: GatewayId,
     requests: Receiver<GatewayRequest>,
     position: usize,
-    in_touch: bool,
-    connect_time: ConnectTime,
-    offers: Offers,
+    is_connected: bool,
+    connect_timeout: ConnectTimeout,
+    offers: VersionOffers,
 }
 
-impl<O: ControlLinkOwner> Link<O> {
+impl<O: ControlLinkHandler> Link<O> {
     async fn run(&mut self) {
         let mut hint: Option<String> = None;
         loop {
             if let Some(address) = hint.take().or_else(|| self.next_replica()) {
-                let left = self.visit(&address).await;
-                self.note_lost(&address, &left);
-                match left {
-                    Left::NotLeader(leader) => hint = leader.filter(|leader| *leader != address),
-                    Left::OfferAgain => hint = Some(address),
-                    Left::Lost | Left::Refused => {}
+                let disconnect = self.try_replica(&address).await;
+                self.log_lost(&address, &disconnect);
+                match disconnect {
+                    Disconnect::NotLeader(leader) => {
+                        hint = leader.filter(|leader| *leader != address)
+                    }
+                    Disconnect::Reoffer => hint = Some(address),
+                    Disconnect::Lost | Disconnect::Refused => {}
                 }
             }
-            Timer::after(PAUSE).await;
+            Timer::after(RECONNECT_DELAY).await;
         }
     }
 
     fn next_replica(&mut self) -> Option<String> {
-        let replicas = self.owner.replicas();
+        let replicas = self.handler.replicas();
         self.position += 1;
         let position = self.position.checked_rem(replicas.len())?;
         replicas.get(position).cloned()
     }
 
-    /// Talks to a replica in the first version that it takes.
-    async fn visit(&mut self, address: &str) -> Left {
-        for _ in 0..Offers::COUNT {
-            let left = self.try_version(address).await;
-            if !matches!(left, Left::Refused) {
-                return left;
+    /// Connects to a replica with the first version that it accepts.
+    async fn try_replica(&mut self, address: &str) -> Disconnect {
+        for _ in 0..VersionOffers::COUNT {
+            let disconnect = self.try_version(address).await;
+            if !matches!(disconnect, Disconnect::Refused) {
+                return disconnect;
             }
             self.offers.refused();
         }
-        Left::Lost
+        Disconnect::Lost
     }
 
-    async fn try_version(&mut self, address: &str) -> Left {
+    async fn try_version(&mut self, address: &str) -> Disconnect {
         let hello = FrameSender::Gateway(self.id.clone());
         let offered = self.offers.next();
-        match frames::connect(address, hello, offered, &mut self.connect_time).await {
+        match frames::connect(address, hello, offered, &mut self.connect_timeout).await {
             Ok((reader, writer)) => self.exchange(address, reader, writer).await,
-            Err(WireError::HelloRefused) => Left::Refused,
-            Err(_) => Left::Lost,
+            Err(WireError::HelloRefused) => Disconnect::Refused,
+            Err(_) => Disconnect::Lost,
         }
     }
 
@@ -131,9 +134,9 @@
         address: &str,
         mut reader: FrameReader,
         mut writer: FrameWriter,
-    ) -> Left {
+    ) -> Disconnect {
         let version = writer.version();
-        self.owner.connected(version);
+        self.handler.on_connected(version);
         let requests = self.requests.clone();
         let writing = async {
             while let Ok(request) = requests.recv().await {
@@ -141,22 +144,22 @@
                     break;
                 }
             }
-            Left::Lost
+            Disconnect::Lost
         };
         let reading = self.read(address, &mut reader);
-        let offer_again = async {
-            time_to_offer_again(version).await;
-            Left::OfferAgain
+        let reoffer = async {
+            wait_to_reoffer(version).await;
+            Disconnect::Reoffer
         };
-        smol::future::or(smol::future::or(reading, writing), offer_again).await
+        smol::future::or(smol::future::or(reading, writing), reoffer).await
     }
 
-    async fn read(&mut self, address: &str, reader: &mut FrameReader) -> Left {
+    async fn read(&mut self, address: &str, reader: &mut FrameReader) -> Disconnect {
         let mut is_accepted = false;
         loop {
             let next = async { Some(reader.next().await) };
             let silence = async {
-                Timer::after(SILENCE).await;
+                Timer::after(SILENCE_TIMEOUT).await;
                 None
             };
             let next = smol::future::or(next, silence).await;
@@ -169,34 +172,34 @@
             match next {
                 Some(Ok(Some(Frame::Control(ControlReply::NotLeader { leader, last_known })))) => {
                     if let Some(configuration) = last_known {
-                        self.owner.heard_last_known(configuration.value());
+                        self.handler.on_last_known(configuration.value());
                     }
-                    return Left::NotLeader(leader);
+                    return Disconnect::NotLeader(leader);
                 }
                 Some(Ok(Some(Frame::Control(reply)))) => {
-                    self.note_regained(address);
-                    self.owner.heard(reply);
+                    self.log_regained(address);
+                    self.handler.on_reply(reply);
                 }
-                Some(Ok(None) | Err(_)) if !is_accepted => return Left::Refused,
-                _ => return Left::Lost,
+                Some(Ok(None) | Err(_)) if !is_accepted => return Disconnect::Refused,
+                _ => return Disconnect::Lost,
             }
         }
     }
 
-    fn note_regained(&mut self, address: &str) {
-        if !self.in_touch {
+    fn log_regained(&mut self, address: &str) {
+        if !self.is_connected {
             log::info!(leader = address; "leader_regained");
         }
-        self.in_touch = true;
+        self.is_connected = true;
     }
 
-    fn note_lost(&mut self, address: &str, left: &Left) {
-        let was_in_touch = std::mem::replace(&mut self.in_touch, false);
-        if was_in_touch {
-            let cause = match left {
-                Left::NotLeader(_) => "another replica leads",
-                Left::Lost | Left::Refused => "the connection broke or was silent",
-                Left::OfferAgain => "a later version is offered",
+    fn log_lost(&mut self, address: &str, disconnect: &Disconnect) {
+        let was_connected = std::mem::replace(&mut self.is_connected, false);
+        if was_connected {
+            let cause = match disconnect {
+                Disconnect::NotLeader(_) => "the replica is not the leader",
+                Disconnect::Lost | Disconnect::Refused => "the connection failed or timed out",
+                Disconnect::Reoffer => "reconnecting to offer a later version",
             };
             log::warn!(leader = address, cause = cause; "leader_lost");
         }
--- a/components/runtime/src/lib.rs
+++ b/components/runtime/src/lib.rs
@@ -1,22 +1,21 @@
-//! The I/O shell that the daemons share.
+//! The I/O layer shared by the daemons.
 //!
-//! Contract: one loop on one thread. Everything runs on one
-//! [`smol::LocalExecutor`]; only file syncs leave it, by [`smol::unblock`],
-//! since a sync would stop the loop (docs/design/one-loop.md).
+//! Contract: one event loop on one thread. Everything runs on one
+//! [`smol::LocalExecutor`], except file syncs, which run by [`smol::unblock`]
+//! because they would block the loop (docs/design/one-loop.md).
 
 pub mod client;
 pub mod clock;
 pub mod command_line;
-pub mod connect_time;
-pub mod connection_bound;
-mod connection_clock;
+pub mod connect_timeout;
+pub mod connection_limit;
+mod connection_timer;
 pub mod control_link;
 pub mod frames;
 pub mod log_limit;
 pub mod log_writer;
 pub mod logging;
 pub mod metrics;
-pub mod offers;
 pub mod pool;
 pub mod reload;
 pub mod server;
@@ -25,15 +24,16 @@
 pub mod signal;
 pub mod sockets;
 pub mod timers;
+pub mod version_offers;
 
 pub use client::{HttpClient, HttpError, StreamedResponse};
 pub use clock::{Clock, TimeSource};
-pub use connect_time::ConnectTime;
-pub use connection_bound::ConnectionBound;
-pub use connection_clock::ConnectionTimes;
-pub use offers::Offers;
+pub use connect_timeout::ConnectTimeout;
+pub use connection_limit::ConnectionLimit;
+pub use connection_timer::ConnectionTimeouts;
 pub use pool::{ConnectionPool, Exchange, PoolSettings};
 pub use server::{Body, HttpServer, Limits, bytes_body, json_response, text_response};
 pub use shared::Shared;
 pub use shell::{Shell, bind, read_json};
 pub use timers::Timers;
+pub use version_offers::VersionOffers;
--- a/components/runtime/tests/offers.rs
+++ b/components/runtime/tests/version_offers.rs
@@ -1,28 +1,28 @@
-//! Which version is offered after a connection has ended.
+//! The version that is offered after a connection has ended.
 
 use std::time::Duration;
 
-use garnet_runtime::Offers;
+use garnet_runtime::VersionOffers;
 use garnet_types::EncodingVersion;
 use rstest::rstest;
 
 const AT_ONCE: Duration = Duration::from_millis(3);
 const LATER: Duration = Duration::from_secs(5);
 
-/// Offers whose next one is the first of an earlier version.
-fn at_earlier() -> Offers {
-    let mut offers = Offers::default();
+/// Offers whose next version is the first earlier one.
+fn at_earlier() -> VersionOffers {
+    let mut offers = VersionOffers::default();
     offers.refused();
     offers.refused();
     assert_eq!(offers.next(), EncodingVersion::V11);
     offers
 }
 
-/// A peer that refuses a version breaks the connection under a frame as often as it closes it in peace.
+/// A peer that refuses a version resets the connection while a frame is sent as often as it closes it cleanly.
 #[rstest]
 #[case::refused(AT_ONCE, EncodingVersion::V16)]
-#[case::stood(LATER, EncodingVersion::CURRENT)]
-fn a_connection_that_ends_at_once_is_refused_however_it_ends(
+#[case::accepted(LATER, EncodingVersion::CURRENT)]
+fn a_connection_that_ends_at_once_counts_as_refused_however_it_ends(
     #[case] after: Duration,
     #[case] next: EncodingVersion,
 ) {
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn the_version_that_stood_comes_before_other_earlier_ones() {
+fn the_accepted_version_is_offered_before_other_earlier_ones() {
     let mut offers = at_earlier();
     offers.refused();
     offers.accepted();
@@ -42,8 +42,8 @@
 }
 
 #[test]
-fn a_connection_of_the_present_version_is_never_refused_afterwards() {
-    let mut offers = Offers::default();
+fn a_connection_of_the_current_version_that_ended_never_counts_as_refused() {
+    let mut offers = VersionOffers::default();
     offers.ended(EncodingVersion::CURRENT, AT_ONCE);
     assert_eq!(offers.next(), EncodingVersion::CURRENT);
     offers.refused();
--- a/components/wire/src/error.rs
+++ b/components/wire/src/error.rs
@@ -1,4 +1,4 @@
-//! What can be wrong with a connection between processes.
+//! Errors of a connection between processes.
 
 use std::io;
 
@@ -17,7 +17,7 @@
     /// a frame can't be decoded: {0}
     Malformed(String),
     /// the other end speaks protocol version {found}, this one {known}
-    Version {
+    UnsupportedVersion {
         /// Version of the other end.
         found: EncodingVersion,
         /// Version of this end.
@@ -29,11 +29,11 @@
     BelowLevel {
         /// Version of the other end.
         found: EncodingVersion,
-        /// Level of the group.
+        /// Level of the group's log.
         level: EncodingVersion,
     },
     /// the other end closed the connection instead of answering the hello
     HelloRefused,
     /// the connection did not open with a hello
-    NoHello,
+    MissingHello,
 }
