--- a/components/gateway/src/application.rs
+++ b/components/gateway/src/application.rs
@@ -18,10 +18,10 @@
     pub(crate) fn route_application(&mut self, id: RequestId) {
         match self.choose_instance(id) {
             Ok((backend, address)) => self.dispatch_application(id, backend, address),
-            Err(_) if self.request_permit(id, None) => {}
+            Err(_) if self.await_permit(id, None) => {}
             Err(refusal) => {
                 let backoff = self.remaining_backoff(&self.requests[&id]);
-                let refusal = backoff.map_or(refusal, |first| self.backoff_refusal(first));
+                let refusal = backoff.map_or(refusal, |remaining| self.backoff_refusal(remaining));
                 // An earlier, interrupted attempt may have run the request.
                 self.end_without_answer(id, refusal);
             }
@@ -56,7 +56,7 @@
             load(instance.id) < self.settings.application_concurrency && self.may_send(instance.id)
         };
         let instances = instances.into_iter().filter(has_capacity).collect();
-        self.prefer_due(instances, |instance| instance.id)
+        self.prefer_due_for_refresh(instances, |instance| instance.id)
             .into_iter()
             .min_by_key(|instance| {
                 let other_zone = instance.record.registration.zone != self.settings.zone;
@@ -146,7 +146,7 @@
                 self.record_failed_backend(id, backend);
                 self.retry_application(id, false);
             }
-            // Handled before, or sent only by engines.
+            // Handled in `handle_attempt`, or sent only by engines.
             AttemptEvent::Limit(_)
             | AttemptEvent::Backoff(_)
             | AttemptEvent::Draining
--- a/components/gateway/src/backends.rs
+++ b/components/gateway/src/backends.rs
@@ -28,12 +28,12 @@
     polled_at: Option<Millis>,
     first_polled_at: Option<Millis>,
     reported_at: Option<Millis>,
-    /// The start of the process that reported its load last.
+    /// Incarnation of the process that reported its load last; differs for each start.
     pub(crate) incarnation: u64,
     availability: Availability,
     /// Attempts that probe the back end after a backoff.
     probes: BTreeMap<AttemptId, Probe>,
-    /// The start of the process that `availability` refers to.
+    /// Start number (incarnation) of the process that `availability` refers to.
     start: u64,
 }
 
@@ -44,8 +44,8 @@
         last_contact.map_or(Millis::ZERO, |at| now.since(at))
     }
 
-    /// Updates the start of the back end from its record and its own reports. After a restart,
-    /// what the previous process reported about its availability is discarded.
+    /// Updates the start number of the back end from its record and its own reports. After a
+    /// restart, what the previous process reported about its availability is discarded.
     fn update_start(&mut self, record: &BackendRecord) {
         let start = self.incarnation.max(record.start());
         if start != self.start {
@@ -94,8 +94,8 @@
         self.views.get(id)
     }
 
-    /// Applies a new configuration: updates the starts of back ends, and drops back ends that
-    /// left the configuration and have no requests in flight.
+    /// Applies a new configuration: updates the start numbers of back ends, and drops back ends
+    /// that left the configuration and have no requests in flight.
     pub(crate) fn apply_configuration(&mut self, configuration: &Configuration) {
         let prefixes = &mut self.prefixes;
         self.views.retain(|id, view| {
@@ -129,7 +129,7 @@
         view.breaker.sent();
     }
 
-    /// Updates the start of a back end from its record.
+    /// Updates the start number of a back end from its record.
     pub(crate) fn update_start(&mut self, record: &BackendRecord) {
         self.view_mut(&record.registration.id).update_start(record);
     }
--- a/components/gateway/src/call.rs
+++ b/components/gateway/src/call.rs
@@ -75,7 +75,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Answer {
     /// A complete generated text. If the call is streamed, its tokens were sent before, and this
-    /// marks the end of the stream.
+    /// marks the end of the stream; [`CompletedText::tokens`] holds all of them.
     Text(CompletedText),
     /// A complete response of an application, or a recorded one.
     Response(RecordedResponse),
--- a/components/gateway/src/claims.rs
+++ b/components/gateway/src/claims.rs
@@ -124,10 +124,10 @@
                 due.push(ClaimRequest::Claim(claim.clone()));
             }
         }
-        for (obligation, sent_at) in self.unacknowledged_claims.values_mut() {
+        for (claim_request, sent_at) in self.unacknowledged_claims.values_mut() {
             if now.since(*sent_at) >= resend_interval {
                 *sent_at = now;
-                due.push(obligation.clone());
+                due.push(claim_request.clone());
             }
         }
         for request in due {
--- a/components/gateway/src/completion/mod.rs
+++ b/components/gateway/src/completion/mod.rs
@@ -50,7 +50,7 @@
     /// Handles a request for which no engine is available: it waits if it may, and ends at once
     /// otherwise.
     pub(super) fn on_no_engine(&mut self, id: RequestId) {
-        if self.request_permit(id, None) {
+        if self.await_permit(id, None) {
             return;
         }
         let request = &self.requests[&id];
@@ -59,16 +59,16 @@
         let has_begun = request.is_prefilled || !request.delivered.is_empty();
         let may_wait = request.verdict.may_wait || has_begun;
         let backoff = self.remaining_backoff(request);
-        let can_meet_deadline = backoff.is_none_or(|first| {
+        let can_meet_deadline = backoff.is_none_or(|remaining| {
             let latest_start = request.deadline - self.generation_time(request);
-            self.now + first <= latest_start
+            self.now + remaining <= latest_start
         });
         if may_wait && can_meet_deadline {
             self.wait_for_engine(id);
             return;
         }
-        if let Some(first) = backoff {
-            let refusal = self.backoff_refusal(first);
+        if let Some(remaining) = backoff {
+            let refusal = self.backoff_refusal(remaining);
             self.end_without_answer(id, refusal);
             return;
         }
@@ -85,13 +85,14 @@
         self.enqueue(id);
     }
 
-    /// Ends a request without an answer: with `when_not_run` if it provably did not run.
-    pub(crate) fn end_without_answer(&mut self, id: RequestId, when_not_run: Refusal) {
+    /// Refuses a request that has no complete answer: with `refusal_if_not_run` if it provably did
+    /// not run, otherwise as failed or, if it must not be repeated, as in doubt.
+    pub(crate) fn end_without_answer(&mut self, id: RequestId, refusal_if_not_run: Refusal) {
         let Some(request) = self.requests.get(&id) else {
             return;
         };
         if !request.may_have_run {
-            self.refuse(id, when_not_run);
+            self.refuse(id, refusal_if_not_run);
             return;
         }
         let refusal = if request.is_repeatable() {
@@ -186,8 +187,9 @@
 /// The class that determines the priority at the engine.
 ///
 /// Admission predicts the first token of a request from the work ahead of it. If urgent work
-/// overtook an admitted request at the engine, it would miss its deadline and waste its slot. So
-/// urgency counts at admission only, and at the engine only deferrable work yields.
+/// overtook an admitted request at the engine, the admitted one would miss its deadline and its
+/// slot would be wasted. So urgency counts at admission only, and at the engine only deferrable
+/// work yields.
 pub(super) fn engine_class(class: Class) -> Class {
     match class {
         Class::Urgent | Class::Interactive => Class::Urgent,
--- a/components/gateway/src/completion/outcomes.rs
+++ b/components/gateway/src/completion/outcomes.rs
@@ -34,7 +34,7 @@
                 self.record_crash(id, backend);
                 self.on_broken(id, attempt, backend);
             }
-            // Handled before, or sent only by applications.
+            // Handled in `handle_attempt`, or sent only by applications.
             AttemptEvent::Limit(_)
             | AttemptEvent::Backoff(_)
             | AttemptEvent::Draining
@@ -65,7 +65,7 @@
         // The decode engine is chosen after the prefill, by the load at that time.
         match self.choose_decode(id) {
             Some(decode) => self.dispatch_generate(id, &decode, Some(kv)),
-            None if self.request_permit(id, Some(kv)) => {}
+            None if self.await_permit(id, Some(kv)) => {}
             None => self.retry_elsewhere(id),
         }
     }
--- a/components/gateway/src/completion/placement.rs
+++ b/components/gateway/src/completion/placement.rs
@@ -55,7 +55,7 @@
             decode = limited;
         }
         let [single, prefill, decode] = [single, prefill, decode].map(|candidates_of_phase| {
-            self.prefer_due(candidates_of_phase, |entry| &entry.backend)
+            self.prefer_due_for_refresh(candidates_of_phase, |entry| &entry.backend)
         });
         let single = choose(&single, &mut self.random);
         let prefill = choose(&prefill, &mut self.random);
@@ -131,7 +131,7 @@
             .filter(|engine| engine.role.generates())
             .map(|engine| self.candidate(request, engine, Phase::Decode))
             .collect();
-        let candidates = self.prefer_due(candidates, |entry| &entry.backend);
+        let candidates = self.prefer_due_for_refresh(candidates, |entry| &entry.backend);
         choose(&candidates, &mut self.random).map(|chosen| chosen.backend)
     }
 }
--- a/components/gateway/src/gateway/arrival.rs
+++ b/components/gateway/src/gateway/arrival.rs
@@ -88,7 +88,7 @@
         };
         match self.resolve_target(&request.call) {
             Ok((tenant, service)) => self.apply_policy(id, tenant, service),
-            Err(refusal) if self.is_fresh_for(request) => self.refuse(id, refusal),
+            Err(refusal) if self.is_current_for(request) => self.refuse(id, refusal),
             Err(_) => {
                 let due = self.now + REFRESH_TIMEOUT;
                 self.timers.insert((due, id));
@@ -97,7 +97,9 @@
         }
     }
 
-    pub(super) fn is_fresh_for(&self, request: &Request) -> bool {
+    /// Whether the latest answered watch was sent after the request arrived, so that a name
+    /// unknown to the current configuration doesn't exist.
+    pub(super) fn is_current_for(&self, request: &Request) -> bool {
         self.watched.answered_watch_sent_at >= Some(request.arrived_at)
     }
 
@@ -116,7 +118,7 @@
         };
         let service = match &call.work {
             Work::Completion { model, .. } => {
-                self.find_pool(model, session.map(|session| &session.service))?
+                self.find_service_of_model(model, session.map(|session| &session.service))?
             }
             Work::Application { service, .. } => self.find_service(service)?,
         };
@@ -129,7 +131,7 @@
         })
     }
 
-    pub(super) fn find_pool(
+    pub(super) fn find_service_of_model(
         &self,
         model: &ModelId,
         service: Option<&ServiceId>,
@@ -237,7 +239,8 @@
         let Some(model) = request.model() else {
             return;
         };
-        // Requests that may wait use the capacity that the others leave, so they aren't counted.
+        // Requests that may wait only use capacity that other requests leave, so they aren't
+        // counted.
         let counted_before = self
             .recently_refused
             .contains(request.body_hash(), self.now);
--- a/components/gateway/src/gateway/availability.rs
+++ b/components/gateway/src/gateway/availability.rs
@@ -39,8 +39,8 @@
         Refusal::not_run(OutcomeCode::Overloaded, retry_after, message)
     }
 
-    /// Time until a back end accepts each phase of a request again; `None` if no phase waits for
-    /// a backoff to end.
+    /// Time until each phase of a request has a back end that accepts requests again; `None` if
+    /// no phase waits for the end of a backoff.
     pub(crate) fn remaining_backoff(&self, request: &Request) -> Option<Millis> {
         let configuration = &self.watched.configuration;
         let service = &request.service;
--- a/components/gateway/src/gateway/control.rs
+++ b/components/gateway/src/gateway/control.rs
@@ -25,6 +25,8 @@
         }
     }
 
+    /// Sends a watch to the leader: it requests the configuration changes after the current index,
+    /// and reports the load that callers offered since the last watch.
     pub(super) fn send_watch(&mut self) {
         self.watch_sent_at = Some(self.now);
         let mix = std::mem::take(&mut self.offered).into_values().collect();
@@ -58,9 +60,9 @@
                 ..
             } => {
                 self.gateway_count = gateways;
-                let before = self.watched.answered_watch_sent_at.unwrap_or_default();
-                self.on_leader_contact(sent_at.since(before));
-                self.update_suspects(suspects);
+                let previous = self.watched.answered_watch_sent_at.unwrap_or_default();
+                self.on_leader_contact(sent_at.since(previous));
+                self.on_suspects(suspects);
                 if let WatchUpdate::Parts { index } = update {
                     let next = self.watched.loader.on_offer(index, self.now);
                     self.request_part(next);
--- a/components/gateway/src/gateway/limits.rs
+++ b/components/gateway/src/gateway/limits.rs
@@ -25,7 +25,7 @@
 /// A permit request that the leader hasn't answered yet.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct AwaitedPermit {
-    ask_number: u64,
+    request_number: u64,
     pub(super) timeout_at: Millis,
     /// KV cache of the prompt, if it has been prefilled.
     kv: Option<KvSource>,
@@ -78,14 +78,19 @@
 
     // ---- Permits ----
 
-    /// Whether a request may be sent to a back end now.
+    /// Whether the rate limit of a back end allows a request to be sent now: it has no limit, or
+    /// there is a permit for it.
     pub(crate) fn may_send(&self, id: &BackendId) -> bool {
         self.limits.may_send(id, self.now)
     }
 
     /// Keeps only the back ends that should get the next request so that their reported limits
     /// are refreshed. If there are none, all back ends are kept.
-    pub(crate) fn prefer_due<T>(&self, items: Vec<T>, id: impl Fn(&T) -> &BackendId) -> Vec<T> {
+    pub(crate) fn prefer_due_for_refresh<T>(
+        &self,
+        items: Vec<T>,
+        id: impl Fn(&T) -> &BackendId,
+    ) -> Vec<T> {
         let is_due = |candidate: &T| self.limits.is_due(id(candidate), self.now);
         if !items.iter().any(is_due) {
             return items;
@@ -99,9 +104,11 @@
         self.limits.rate(id).is_none()
     }
 
-    /// Requests a permit from the leader for a request that may be sent to no back end now.
-    /// Returns `false` if this isn't due to a rate limit, so that no permit would help.
-    pub(crate) fn request_permit(&mut self, id: RequestId, kv: Option<KvSource>) -> bool {
+    /// Requests a permit from the leader for a request that may be sent to no back end now. The
+    /// request waits for the answer; if a permit is already known to be unavailable, it waits for
+    /// capacity or is refused. Returns `false` if this isn't due to a rate limit, so that no
+    /// permit would help.
+    pub(crate) fn await_permit(&mut self, id: RequestId, kv: Option<KvSource>) -> bool {
         if self.limits.is_empty() {
             return false;
         }
@@ -114,7 +121,7 @@
             None => permit_priority(request.verdict.class),
         };
         let candidates: Vec<BackendId> = self
-            .backends_for_missing_phase(request)
+            .backends_for_blocked_phase(request)
             .into_iter()
             .map(|candidate| candidate.id.clone())
             .collect();
@@ -129,12 +136,12 @@
             PermitLookup::AskLeader(_) if permits_used_up => {
                 self.wait_or_refuse(id, MIN_RETRY_AFTER)
             }
-            PermitLookup::AskLeader(ask) => {
+            PermitLookup::AskLeader(permit_request) => {
                 let timeout_at = self.now + PERMIT_TIMEOUT;
-                let ask_number = ask.number;
-                self.send_permit_request(ask);
+                let request_number = permit_request.number;
+                self.send_permit_request(permit_request);
                 let awaited = AwaitedPermit {
-                    ask_number,
+                    request_number,
                     timeout_at,
                     kv,
                 };
@@ -148,14 +155,14 @@
         true
     }
 
-    fn send_permit_request(&mut self, ask: PermitRequest) {
+    fn send_permit_request(&mut self, permit_request: PermitRequest) {
         self.send_limit_reports();
-        self.emit(Effect::SendControl(GatewayRequest::Permit(ask)));
+        self.emit(Effect::SendControl(GatewayRequest::Permit(permit_request)));
     }
 
-    /// Back ends, regardless of their limits, for the phase of a request that may be sent
-    /// nowhere now: the prefill, or the decode phase if a prefill engine is available.
-    fn backends_for_missing_phase(&self, request: &Request) -> Vec<BackendRef<'_>> {
+    /// Back ends, regardless of their limits, for the phase of a request that rate limits block:
+    /// the prefill, or the decode phase if a prefill engine is available.
+    fn backends_for_blocked_phase(&self, request: &Request) -> Vec<BackendRef<'_>> {
         let mut capable_backends = self.capable_backends(request);
         if request.model().is_none() {
             return capable_backends;
@@ -216,18 +223,18 @@
             .collect();
         let index = self.spare_permit_counter as usize % limited_backends.len().max(1);
         let candidate = limited_backends.get(index);
-        if let PermitLookup::AskLeader(ask) =
+        if let PermitLookup::AskLeader(permit_request) =
             self.limits
                 .request_permit(candidate.into_iter(), priority, self.now)
         {
-            self.send_permit_request(ask);
+            self.send_permit_request(permit_request);
         }
     }
 
     pub(super) fn on_permit_answer(&mut self, answer: &PermitAnswer) {
         self.limits.answered(answer, self.now);
         let is_waiting_for_answer = |request: &Request| match &request.stage {
-            Stage::AwaitingPermit(awaited) => awaited.ask_number == answer.number,
+            Stage::AwaitingPermit(awaited) => awaited.request_number == answer.number,
             _ => false,
         };
         let mut requests = self.requests.iter();
--- a/components/gateway/src/gateway/mod.rs
+++ b/components/gateway/src/gateway/mod.rs
@@ -183,7 +183,8 @@
         self.draining && self.requests.is_empty() && self.unacknowledged_claims.is_empty()
     }
 
-    /// Number of requests that are not finished.
+    /// Number of requests without a final answer, or whose attempt continues so that its result
+    /// is recorded.
     pub fn open_requests(&self) -> usize {
         self.requests.len()
     }
--- a/components/gateway/src/gateway/quarantine.rs
+++ b/components/gateway/src/gateway/quarantine.rs
@@ -26,8 +26,9 @@
         }
     }
 
-    /// Handles an answer after `silence` without one, or a reply from a replica that isn't the
-    /// leader. The leader may have changed, so reports are sent again.
+    /// Handles a reply of a control replica. `silence` is the time since the previous answer of
+    /// the leader, or [`Millis::NEVER`] if the replica isn't the leader. After a long silence the
+    /// leader may have changed, so all reports are sent again.
     pub(super) fn on_leader_contact(&mut self, silence: Millis) {
         if silence >= LEADER_SILENCE_LIMIT {
             self.crash_log.resend_all();
@@ -45,7 +46,7 @@
         self.crash_log.update_quarantined(quarantined);
     }
 
-    pub(super) fn update_suspects(&mut self, suspects: Option<Suspects>) {
+    pub(super) fn on_suspects(&mut self, suspects: Option<Suspects>) {
         if let Some(suspects) = suspects {
             self.crash_log.update_suspects(suspects);
         }
@@ -66,7 +67,7 @@
         self.send_run_report();
     }
 
-    /// The latest known start of a back end, from its reports and its record.
+    /// The highest known incarnation of a back end, from its reports and its record.
     pub(super) fn incarnation_of(&self, backend: &BackendId) -> u64 {
         let reported = self.backends.view_of(backend).map(|view| view.incarnation);
         let record = self.watched.configuration.backends.get(backend);
@@ -89,7 +90,7 @@
         self.crash_log.is_empty() && self.watched.configuration.quarantine.is_empty()
     }
 
-    fn standing(&self, request: &Request) -> QuarantineStatus {
+    fn quarantine_status(&self, request: &Request) -> QuarantineStatus {
         if self.has_no_suspects() {
             return QuarantineStatus::Clear;
         }
@@ -106,7 +107,7 @@
         let Some(request) = self.requests.get(&id) else {
             return false;
         };
-        if self.standing(request) != QuarantineStatus::Refused {
+        if self.quarantine_status(request) != QuarantineStatus::Refused {
             return false;
         }
         let message = "engines crashed while running this request";
@@ -120,7 +121,8 @@
     /// that it must not be retried.
     pub(crate) fn is_suspected(&self, id: RequestId) -> bool {
         let request = self.requests.get(&id);
-        request.is_some_and(|request| self.standing(request) == QuarantineStatus::Suspected)
+        request
+            .is_some_and(|request| self.quarantine_status(request) == QuarantineStatus::Suspected)
     }
 
     fn quarantine_retry_after(&self, fingerprint: RequestFingerprint) -> Millis {
@@ -138,7 +140,7 @@
         request: &Request,
         backends: Vec<BackendRef<'a>>,
     ) -> Vec<BackendRef<'a>> {
-        if self.standing(request) != QuarantineStatus::Suspected {
+        if self.quarantine_status(request) != QuarantineStatus::Suspected {
             return backends;
         }
         let decode_backends = backends
--- a/components/gateway/tests/core/limited_back_ends.rs
+++ b/components/gateway/tests/core/limited_back_ends.rs
@@ -54,26 +54,26 @@
 
 fn permit_requests(harness: &mut Harness) -> Vec<PermitRequest> {
     harness.take(|effect| match effect {
-        Effect::SendControl(GatewayRequest::Permit(ask)) => Some(ask.clone()),
+        Effect::SendControl(GatewayRequest::Permit(request)) => Some(request.clone()),
         _ => None,
     })
 }
 
-fn answer(harness: &mut Harness, ask: &PermitRequest, outcome: PermitOutcome) {
+fn answer(harness: &mut Harness, request: &PermitRequest, outcome: PermitOutcome) {
     let answer = PermitAnswer {
-        number: ask.number,
+        number: request.number,
         outcome,
     };
     harness.event(Event::Control(ControlReply::Permit(answer)));
 }
 
-fn grant(harness: &mut Harness, ask: &PermitRequest) -> BackendId {
-    let backend = ask.backends[0].clone();
+fn grant(harness: &mut Harness, request: &PermitRequest) -> BackendId {
+    let backend = request.backends[0].clone();
     let outcome = PermitOutcome::Granted {
         backend: backend.clone(),
         is_due: false,
     };
-    answer(harness, ask, outcome);
+    answer(harness, request, outcome);
     backend
 }
 
@@ -88,9 +88,9 @@
     let limited = limit(&mut harness, "order");
     harness.event(order(1, "POST", None));
     assert!(harness.dispatches().is_empty());
-    let ask = permit_request(&mut harness);
-    assert_eq!(ask.backends, limited);
-    let granted = grant(&mut harness, &ask);
+    let request = permit_request(&mut harness);
+    assert_eq!(request.backends, limited);
+    let granted = grant(&mut harness, &request);
     assert_eq!(harness.dispatch().backend, granted);
     harness.event(order(2, "POST", None));
     assert!(harness.dispatches().is_empty());
@@ -101,12 +101,12 @@
     let mut harness = Harness::ready();
     limit(&mut harness, "order");
     harness.event(order(1, "POST", None));
-    let ask = permit_request(&mut harness);
+    let request = permit_request(&mut harness);
     let outcome = PermitOutcome::Refused {
         wait: Millis(400),
         retry_after: Millis(1_900),
     };
-    answer(&mut harness, &ask, outcome);
+    answer(&mut harness, &request, outcome);
     let refusal = refused(&mut harness);
     assert_eq!(refusal, (OutcomeCode::Overloaded, Some(Millis(1_900))));
     // The next request is refused without another permit request.
@@ -135,9 +135,9 @@
     let limited = limit(&mut harness, "reader");
     harness.event(completion(1, None));
     assert!(harness.dispatches().is_empty());
-    let ask = permit_request(&mut harness);
-    assert_eq!(ask.backends, limited);
-    grant(&mut harness, &ask);
+    let request = permit_request(&mut harness);
+    assert_eq!(request.backends, limited);
+    grant(&mut harness, &request);
     let dispatched = harness.dispatch();
     assert!(
         matches!(dispatched.job, Job::Prefill { .. }),
@@ -155,9 +155,9 @@
     let limited = limit(&mut harness, "engine");
     harness.attempt(prefilling.attempt, AttemptEvent::Prefilled { handle: 7 });
     assert!(harness.dispatches().is_empty());
-    let ask = permit_request(&mut harness);
-    assert_eq!((ask.priority, &ask.backends), (0, &limited));
-    grant(&mut harness, &ask);
+    let request = permit_request(&mut harness);
+    assert_eq!((request.priority, &request.backends), (0, &limited));
+    grant(&mut harness, &request);
     match harness.dispatch().job {
         Job::Generate { kv: Some(kv), .. } => assert_eq!(kv.handle, 7),
         other => panic!("{other:?}"),
--- a/components/gateway/tests/core/streams.rs
+++ b/components/gateway/tests/core/streams.rs
@@ -127,10 +127,10 @@
 }
 
 /// Guards against aborting a silent engine if no other engine may resume the request, because
-/// it may run only once or the retry budget is exhausted. An engine that sent neither tokens nor
-/// load for two seconds was aborted. With 7.5 s of 10 s left, the caller was refused with
-/// `InDoubt` ("an engine may have run the request") or a failure without a substitute engine,
-/// while the engine continued a moment later.
+/// it may run only once or the retry budget is exhausted. The attempt at an engine that sent
+/// neither tokens nor load for two seconds was aborted. With 7.5 s of 10 s left, the caller got
+/// `InDoubt` ("an engine may have run the request") or, without a retry left, a failure, although
+/// the engine would have continued a moment later.
 #[rstest]
 #[case::at_most_one_run(Some("key"), 0)]
 #[case::no_retry_budget(None, 6)]
