--- a/components/planner/src/balance.rs
+++ b/components/planner/src/balance.rs
@@ -8,13 +8,14 @@
 
 use garnet_types::Millis;
 
-/// One of this many engines of a pool changes its role in a step. A phase with a third of the
-/// pool then changes by a quarter, about the smallest change that is worth its cost.
-const ENGINES_PER_STEP: usize = 12;
-/// A phase loses at most one of this many of its engines in a step. The load of the remaining
-/// engines is predicted in proportion, which holds for small changes only: batches slow down,
-/// and KV transfers share fewer links.
-const ENGINES_PER_LOSS: usize = 4;
+/// In a step, the number of engines of the pool divided by this change their role. A phase with
+/// a third of the pool then changes by a quarter, about the smallest change that is worth its
+/// cost.
+const STEP_DIVISOR: usize = 12;
+/// A phase gives up at most its number of engines divided by this in a step. The load of the
+/// remaining engines is predicted in proportion, which holds for small changes only: batches slow
+/// down, and KV transfers share fewer links.
+const MAX_PHASE_STEP_DIVISOR: usize = 4;
 /// Occupancy at which the queue formula is capped, because it diverges at 1.
 const OCCUPANCY_CAP: f64 = 0.95;
 
@@ -46,7 +47,7 @@
     /// Weight of waiting in the decode phase relative to the prefill phase. It is below 1
     /// because a filling batch slows down gradually, a queue does not.
     pub decode_weight: f64,
-    /// A change is made only if the predicted congestion, divided by the present one, is
+    /// A change is made only if the predicted congestion, divided by the current one, is
     /// below this ratio.
     pub max_congestion_ratio: f64,
     /// Congestion up to this value causes no change.
@@ -101,42 +102,42 @@
     capped.powf(exponent) / (1.0 - capped) + (occupancy - capped) * 20.0
 }
 
-/// Number of prefill engines while no load is known, in a pool where `present` engines prefill.
+/// Number of prefill engines while no load is known, in a pool where `current` engines prefill.
 ///
 /// This is the configured share of the pool, with at least one engine for each phase. If both
-/// phases already have enough engines until the load is known, `present` is kept: changing
+/// phases already have enough engines until the load is known, `current` is kept: changing
 /// roles by a guess isn't worth the interruption.
 pub fn initial_prefill_engines(
     engines: usize,
-    present: usize,
+    current: usize,
     settings: &BalanceSettings,
 ) -> usize {
     if engines < 2 {
         return 0;
     }
-    if present.min(engines.saturating_sub(present)) >= ENOUGH_ENGINES_WITHOUT_LOAD {
-        return present;
+    if current.min(engines.saturating_sub(current)) >= ENOUGH_ENGINES_WITHOUT_LOAD {
+        return current;
     }
     let share = (engines as f64 * settings.initial_prefill_share).round() as usize;
     share.clamp(1, engines - 1)
 }
 
-/// Number of prefill engines that the pool should have under this load: the present number, or
+/// Number of prefill engines that the pool should have under this load: the current number, or
 /// one engine or one step more or less. A step is a fraction of the pool, since in a large pool
 /// a single engine makes no difference that is worth a change.
 pub fn target_prefill_engines(occupancy: &PhaseOccupancy, settings: &BalanceSettings) -> usize {
-    let present = occupancy.prefill_engines;
-    let present_congestion = occupancy.congestion(present, settings);
-    if present_congestion <= settings.tolerated_congestion {
-        return present;
+    let current = occupancy.prefill_engines;
+    let current_congestion = occupancy.congestion(current, settings);
+    if current_congestion <= settings.tolerated_congestion {
+        return current;
     }
-    let step = occupancy.engines() / ENGINES_PER_STEP;
-    let capped = |phase_engines: usize| step.min(phase_engines / ENGINES_PER_LOSS).max(1);
+    let step = occupancy.engines() / STEP_DIVISOR;
+    let capped = |phase_engines: usize| step.min(phase_engines / MAX_PHASE_STEP_DIVISOR).max(1);
     let steps = [
-        present.saturating_sub(capped(present)),
-        present.saturating_sub(1),
-        present + 1,
-        present + capped(occupancy.decode_engines),
+        current.saturating_sub(capped(current)),
+        current.saturating_sub(1),
+        current + 1,
+        current + capped(occupancy.decode_engines),
     ];
     let best = steps
         .into_iter()
@@ -149,10 +150,10 @@
         .min_by(|left, right| left.1.total_cmp(&right.1));
     match best {
         Some((prefill_engines, congestion))
-            if congestion < present_congestion * settings.max_congestion_ratio =>
+            if congestion < current_congestion * settings.max_congestion_ratio =>
         {
             prefill_engines
         }
-        _ => present,
+        _ => current,
     }
 }
--- a/components/planner/src/fleet_size.rs
+++ b/components/planner/src/fleet_size.rs
@@ -72,7 +72,7 @@
 /// zones, 300 gateways received the update only after 4.9 s, where 4.0 s are allowed.
 const MAX_CHANGE_PER_STEP: u32 = 100;
 
-/// The next target for each zone while the load needs `needed` engines. `present` holds the
+/// The next target for each zone while the load needs `needed` engines. `current` holds the
 /// engines of each zone that are serving now.
 ///
 /// Dedicated engines are released one for one as preemptible ones start serving, so that no
@@ -83,14 +83,14 @@
 pub fn target_fleet(
     needed: u32,
     constraints: &FleetConstraints,
-    present: &[ZoneFleet],
+    current: &[ZoneFleet],
 ) -> Option<Vec<ZoneFleet>> {
-    let preemptible = preemptible_in_zone(needed, constraints, present.len())?;
-    let serving: u32 = present.iter().map(|zone| zone.preemptible).sum();
-    let dedicated: u32 = present.iter().map(|zone| zone.dedicated).sum();
+    let preemptible = preemptible_in_zone(needed, constraints, current.len())?;
+    let serving: u32 = current.iter().map(|zone| zone.preemptible).sum();
+    let dedicated: u32 = current.iter().map(|zone| zone.dedicated).sum();
     let target_dedicated = needed.saturating_sub(serving);
     let missing = target_dedicated.saturating_sub(dedicated);
-    let missing_in_zone = missing.div_ceil(present.len() as u32);
+    let missing_in_zone = missing.div_ceil(current.len() as u32);
     let next_fleet = |zone: &ZoneFleet| {
         let dedicated = if missing > 0 {
             let room = constraints.max_per_zone.saturating_sub(zone.total());
@@ -104,13 +104,13 @@
             preemptible: step(zone.preemptible, preemptible.min(room)),
         }
     };
-    Some(present.iter().map(next_fleet).collect())
+    Some(current.iter().map(next_fleet).collect())
 }
 
-/// The number of engines after the next step from `present` towards `target`.
-fn step(present: u32, target: u32) -> u32 {
-    let least = present.saturating_sub(MAX_CHANGE_PER_STEP);
-    target.clamp(least, present.saturating_add(MAX_CHANGE_PER_STEP))
+/// The number of engines after the next step from `current` towards `target`.
+fn step(current: u32, target: u32) -> u32 {
+    let lower_bound = current.saturating_sub(MAX_CHANGE_PER_STEP);
+    target.clamp(lower_bound, current.saturating_add(MAX_CHANGE_PER_STEP))
 }
 
 /// `engines` times `to / from`, rounded up; 0 if `from` is 0.
--- a/components/planner/src/loss.rs
+++ b/components/planner/src/loss.rs
@@ -35,7 +35,7 @@
 }
 
 /// Utilisation above which answers start to be late.
-const COMFORTABLE_UTILISATION: f64 = 0.9;
+const LATENESS_THRESHOLD: f64 = 0.9;
 /// Fraction of the answers that are late at full utilisation.
 const LATE_FRACTION_AT_FULL_UTILISATION: f64 = 0.08;
 
@@ -118,6 +118,6 @@
     } else {
         1.0
     };
-    let strain = (utilisation - COMFORTABLE_UTILISATION) / (1.0 - COMFORTABLE_UTILISATION);
-    capacity_share * (1.0 - LATE_FRACTION_AT_FULL_UTILISATION * strain.clamp(0.0, 1.0))
+    let saturation = (utilisation - LATENESS_THRESHOLD) / (1.0 - LATENESS_THRESHOLD);
+    capacity_share * (1.0 - LATE_FRACTION_AT_FULL_UTILISATION * saturation.clamp(0.0, 1.0))
 }
--- a/components/planner/src/settings.rs
+++ b/components/planner/src/settings.rs
@@ -8,7 +8,7 @@
     /// Useful answers that a role change must gain to be made: low if goodput matters most,
     /// high if role changes should be rare.
     pub role_change_price: f64,
-    /// How long the present load is expected to last when the gain of a change is computed.
+    /// How long the current load is expected to last when the gain of a change is computed.
     pub horizon: Millis,
     /// Minimum time between two changes of a pool.
     pub min_dwell: Millis,
