--- a/components/planner/tests/fleet_size.rs
+++ b/components/planner/tests/fleet_size.rs
@@ -188,7 +188,7 @@
             prop_assert!(serving + dedicated >= needed.min(serving + had), "a step leaves too few");
             let mut all = vec![ZoneFleet::default(); current.len()];
             for _ in 0..4 {
-                all = target_fleet(needed, &constraints, &all).expect("independent of the current fleet");
+                all = target_fleet(needed, &constraints, &all).expect("independent of the present fleet");
                 all.iter_mut().for_each(|zone| zone.dedicated = 0);
             }
             let total_preemptible: u32 = all.iter().map(|zone| zone.preemptible).sum();
