--- a/components/types/src/backend.rs
+++ b/components/types/src/backend.rs
@@ -29,7 +29,7 @@
 
 impl EngineRole {
     /// Whether the role may read prompts.
-    pub fn reads_prompts(self) -> bool {
+    pub fn prefills(self) -> bool {
         self != EngineRole::Decode
     }
 
@@ -60,4 +60,4 @@
 }
 
 /// Start of a back end that does not report its starts.
-pub const UNTOLD_START: u64 = 0;
+pub const UNKNOWN_START: u64 = 0;
