--- a/components/gateway/src/application.rs
+++ b/components/gateway/src/application.rs
@@ -21,8 +21,8 @@
             Err(_) if self.await_permit(id, None) => {}
             Err(refusal) => {
                 let backoff = self.remaining_backoff(&self.requests[&id]);
-                let refusal = backoff.map_or(refusal, |remaining_backoff| {
-                    self.backoff_refusal(remaining_backoff)
+                let refusal = backoff.map_or(refusal, |until_accepted| {
+                    self.backoff_refusal(until_accepted)
                 });
                 // An earlier, interrupted attempt may have run the request.
                 self.end_without_answer(id, refusal);
--- a/components/gateway/src/completion/mod.rs
+++ b/components/gateway/src/completion/mod.rs
@@ -59,16 +59,16 @@
         let has_begun = request.is_prefilled || !request.delivered.is_empty();
         let may_wait = request.verdict.may_wait || has_begun;
         let backoff = self.remaining_backoff(request);
-        let can_meet_deadline = backoff.is_none_or(|remaining_backoff| {
+        let can_meet_deadline = backoff.is_none_or(|until_accepted| {
             let latest_start = request.deadline - self.generation_time(request);
-            self.now + remaining_backoff <= latest_start
+            self.now + until_accepted <= latest_start
         });
         if may_wait && can_meet_deadline {
             self.wait_for_engine(id);
             return;
         }
-        if let Some(remaining_backoff) = backoff {
-            let refusal = self.backoff_refusal(remaining_backoff);
+        if let Some(until_accepted) = backoff {
+            let refusal = self.backoff_refusal(until_accepted);
             self.end_without_answer(id, refusal);
             return;
         }
