--- a/components/types/src/backend.rs
+++ b/components/types/src/backend.rs
@@ -1,8 +1,8 @@
-//! Closed types that describe back ends and the machines they run on.
+//! Kinds, roles and states of back ends and of the machines that they run on.
 
 use serde::{Deserialize, Serialize};
 
-/// What a back end is.
+/// Kind of a back end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum BackendKind {
@@ -18,7 +18,7 @@
 )]
 #[serde(rename_all = "snake_case")]
 pub enum EngineRole {
-    /// Reads prompts and exports their KV cache.
+    /// Prefills prompts and exports their KV cache.
     Prefill,
     /// Generates tokens from an imported KV cache.
     Decode,
@@ -28,12 +28,12 @@
 }
 
 impl EngineRole {
-    /// Whether the role may read prompts.
+    /// Whether an engine with this role may prefill prompts.
     pub fn prefills(self) -> bool {
         self != EngineRole::Decode
     }
 
-    /// Whether the role may generate tokens.
+    /// Whether an engine with this role may generate tokens.
     pub fn generates(self) -> bool {
         self != EngineRole::Prefill
     }
@@ -48,16 +48,16 @@
     }
 }
 
-/// What the platform's list says of a machine. The list lags.
+/// State of a machine as the platform's list reports it. The list lags behind the machines.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum MachineState {
     /// In service.
     #[default]
     Live,
-    /// Going out of service: takes no new work.
+    /// Leaving service; gets no new work.
     Leaving,
 }
 
-/// Start of a back end that does not report its starts.
+/// Stands for the start of a back end that does not report it.
 pub const UNKNOWN_START: u64 = 0;
--- a/components/types/src/encoding_version.rs
+++ b/components/types/src/encoding_version.rs
@@ -1,4 +1,4 @@
-//! Versions of the encodings that builds share.
+//! Versions of the encodings in which builds exchange data.
 
 use std::fmt;
 use std::num::ParseIntError;
@@ -6,8 +6,8 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Version of the encodings of a build: of its frames, of the entries that it writes
-/// into the log and of its snapshots. A change of any of them is a new version.
+/// Version of the encodings of a build: its frames, the entries that it writes into the
+/// log, and its snapshots. A change to any of them gets a new version.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -15,14 +15,15 @@
 pub struct EncodingVersion(pub u32);
 
 impl EncodingVersion {
-    /// The oldest version that is spoken. Log entries carry no version.
+    /// The oldest version that is supported on connections. Log entries carry no version.
     pub const V11: Self = EncodingVersion(11);
-    /// Stands for 12 to 15, whose log entries are encoded alike. Read from disks only.
+    /// Represents versions 12 to 15, which encode log entries the same way. Supported only
+    /// when reading from disk.
     pub const V12: Self = EncodingVersion(12);
-    /// The last version without versions of log entries.
+    /// The last version whose log entries carry no version.
     pub const V16: Self = EncodingVersion(16);
-    /// Log entries carry their version, and the acceptor of a connection answers with its
-    /// own.
+    /// Log entries carry their version, and the process that accepts a connection replies
+    /// with its own version.
     pub const V17: Self = EncodingVersion(17);
     /// The version of this build.
     pub const CURRENT: Self = Self::V17;
--- a/components/types/src/engine.rs
+++ b/components/types/src/engine.rs
@@ -1,4 +1,4 @@
-//! What the control group and an engine say to each other.
+//! Messages between the control group and an engine.
 
 use serde::{Deserialize, Serialize};
 
@@ -8,45 +8,45 @@
 
 const MS_PER_SECOND: f64 = 1000.0;
 
-/// What an engine is set up for.
+/// Role and model of an engine.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct EngineAssignment {
-    /// Phase that it works on.
+    /// Phase of inference that the engine works on.
     pub role: EngineRole,
-    /// Model that it has loaded.
+    /// Model that the engine has loaded.
     pub model: ModelId,
 }
 
-/// An order that takes effect only under its fence.
+/// An order to an engine; its fence decides whether the engine carries it out.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineOrder {
-    /// Authority of the order.
+    /// Position of the order; see [`Fence`].
     pub fence: Fence,
-    /// What the engine shall become.
+    /// Role and model that the engine is to take on.
     pub assignment: EngineAssignment,
 }
 
-/// How fast an engine is, as it states itself.
+/// Speed of an engine as it reports it.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct EngineCapacity {
-    /// Prompt tokens read in a second when nothing else runs.
+    /// Prompt tokens prefilled per second when nothing else runs.
     pub prefill_tokens_per_second: f64,
-    /// Sequences that may generate at once.
+    /// Sequences that may be decoded at once.
     pub decode_slots: u64,
-    /// Milliseconds of one step that generates a token for each sequence.
+    /// Milliseconds of one decode step, which generates a token for each sequence.
     pub decode_step_ms: f64,
-    /// Milliseconds to hand over the KV cache of 1,000 tokens.
+    /// Milliseconds to transfer the KV cache of 1,000 tokens.
     pub transfer_ms_per_1000_tokens: f64,
 }
 
 impl EngineCapacity {
-    /// Tokens generated in a second with all slots in use.
+    /// Tokens generated per second with all decode slots in use.
     pub fn decode_tokens_per_second(&self) -> f64 {
         self.decode_slots as f64 * MS_PER_SECOND / self.decode_step_ms
     }
 
-    /// Whether prefilling a prompt takes this engine longer than generating the
-    /// text with all slots in use.
+    /// Whether prefilling a prompt takes this engine longer than generating its output
+    /// with all decode slots in use.
     pub fn is_prompt_bound(&self, prompt_tokens: f64, output_tokens: f64) -> bool {
         let prefill = prompt_tokens / self.prefill_tokens_per_second;
         prefill > output_tokens / self.decode_tokens_per_second()
@@ -64,37 +64,38 @@
     }
 }
 
-/// State of an engine as it sees itself now.
+/// State of an engine as it reports it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct EngineStatus {
-    /// Differs for each start of the engine.
+    /// Identifies one start of the engine's process.
     pub incarnation: u64,
-    /// Highest fence that it ever accepted; kept across restarts. `None` from
-    /// an engine that checks fences and does not tell them.
+    /// Highest fence that the engine has ever accepted; kept across restarts. `None` for
+    /// an engine that checks fences but does not report them.
     pub highest_fence: Option<Fence>,
-    /// What it is set up for.
+    /// Current role and model.
     pub assignment: EngineAssignment,
-    /// The order that it is carrying out, if any.
+    /// The order that is being carried out, if any.
     pub changing: Option<EngineOrder>,
-    /// Requests that it works on.
+    /// Number of running requests.
     pub running: u64,
-    /// Its speed.
+    /// Speed of the engine.
     pub capacity: EngineCapacity,
 }
 
 /// An engine's answer to an order.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum OrderAnswer {
-    /// It is being carried out, or was already.
+    /// The order is being carried out, or was carried out before.
     Accepted(EngineStatus),
-    /// A higher fence was accepted before: no effect.
+    /// The order has no effect because a higher fence was accepted before.
     StaleFence(EngineStatus),
-    /// Another order is being carried out, or requests still run: no effect.
+    /// The order has no effect because another one is being carried out or requests
+    /// still run.
     Busy(EngineStatus),
 }
 
 impl OrderAnswer {
-    /// The state that came with the answer.
+    /// The engine's state, which every answer contains.
     pub fn status(&self) -> &EngineStatus {
         match self {
             OrderAnswer::Accepted(status)
--- a/components/types/src/fence.rs
+++ b/components/types/src/fence.rs
@@ -1,10 +1,10 @@
-//! The fence that keeps orders of a deposed leader without effect.
+//! The fencing token that makes orders of a deposed leader ineffective.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// Position of a committed order: engines refuse any fence below the highest
+/// Log position of a committed order. Engines reject a fence below the highest
 /// one that they have accepted, and treat an equal one as the same order.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
--- a/components/types/src/identity.rs
+++ b/components/types/src/identity.rs
@@ -1,4 +1,4 @@
-//! Names of the things the system keeps apart.
+//! Identifiers of tenants, services, back ends, processes and requests.
 
 use std::fmt;
 use std::num::ParseIntError;
@@ -14,7 +14,7 @@
         pub struct $name(pub String);
 
         impl $name {
-            /// Builds the identifier from text.
+            /// Creates the identifier from text.
             pub fn new(text: impl Into<String>) -> Self {
                 $name(text.into())
             }
@@ -33,28 +33,28 @@
 }
 
 text_identifier! {
-    /// A caller's organisation, as the `Garnet-Tenant` header gives it.
+    /// A caller's organisation, as named in the `Garnet-Tenant` header.
     TenantId;
-    /// A long-lived session that an operator created.
+    /// A long-lived session, created by an operator.
     SessionId;
-    /// A language model by its published name.
+    /// Published name of a language model.
     ModelId;
-    /// A service: a group of engines or of application instances.
+    /// A service, which is a group of engines or of application instances.
     ServiceId;
-    /// One back end process: an engine or an application instance.
+    /// One back-end process, an engine or an application instance.
     BackendId;
-    /// One gateway process, unique for each start of the process.
+    /// One gateway process; each start of the process has its own identifier.
     GatewayId;
-    /// The caller's key that marks a request as not repeatable.
+    /// The caller's key for a request that must not run more than once.
     IdempotencyKey;
-    /// The operator's name for one command; a resent command carries it again.
+    /// Identifier that an operator gives a command; a resent command has the same one.
     CommandId;
 }
 
-/// One replica of the control group, bound to the disk it was made on.
+/// One replica of the control group, bound to the disk on which it was created.
 ///
-/// A replica that returns with an empty disk has another identity, so that it
-/// can't vote a second time as its former self.
+/// A replica that restarts with an empty disk gets a new identity, so that it
+/// can't vote twice in a term under the same identity.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -66,7 +66,7 @@
     }
 }
 
-/// One caller's request inside one gateway process.
+/// One caller's request, unique within a gateway process.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -86,17 +86,17 @@
     }
 }
 
-/// The one try to own a key: which gateway asked, and for which request.
+/// One attempt to claim an idempotency key: the gateway that asked, and its request.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ClaimId {
-    /// The gateway process that asked.
+    /// The gateway process that requested the claim.
     pub gateway: GatewayId,
-    /// The request it asked for.
+    /// The request for which it did.
     pub request: RequestId,
 }
 
-/// A prompt's prefix that ends with one of its parts: equal ones have equal
-/// content.
+/// Identifies a prompt's prefix that ends with one of the prompt's parts. Equal
+/// identifiers stand for equal content.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
--- a/components/types/src/lib.rs
+++ b/components/types/src/lib.rs
@@ -1,6 +1,6 @@
-//! Identifiers, time and closed types that every garnetcourse crate shares.
+//! Identifiers, time and plain data types that all garnetcourse crates share.
 //!
-//! Contract: plain data only. Nothing here reads a clock, a socket or a file.
+//! Contract: plain data only. Nothing in this crate reads a clock, a socket or a file.
 
 pub mod backend;
 pub mod decimal;
--- a/components/types/src/outcome.rs
+++ b/components/types/src/outcome.rs
@@ -1,4 +1,4 @@
-//! The closed set of answers a caller can get, each with one meaning.
+//! The outcomes that a caller can get for a request.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,42 +7,43 @@
 /// Whether the request ran on a back end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Execution {
-    /// Provably not: it may be sent again.
+    /// It provably did not run and may be sent again.
     No,
-    /// It did.
+    /// It ran.
     Yes,
-    /// It may have; the system does not repeat it.
+    /// It may have run; the system does not repeat it.
     Unknown,
 }
 
-/// Why a request was refused or given up.
+/// Why a request was refused or did not complete.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum OutcomeCode {
-    /// No back end began it, and none will.
+    /// No back end started the request, and none will.
     NotRun,
-    /// It may have run; a resend with the same key never runs it a second time.
+    /// The request may have run. Sending it again with the same key never runs it a
+    /// second time.
     InDoubt,
-    /// The limits or the predicted lateness forbid it now.
+    /// The system is at a limit, or the answer would probably be late.
     Overloaded,
-    /// The tenant used its own allowance up.
+    /// The tenant has used up its allowance.
     TenantLimit,
-    /// Its deadline can't be met any more.
+    /// The deadline can't be met any more.
     Deadline,
-    /// The key stands for another body.
+    /// The idempotency key was used with another body.
     Conflict,
-    /// The request itself is at fault.
+    /// The request is malformed or not allowed.
     Invalid,
     /// The named model, service or session does not exist.
     NotFound,
-    /// It began and was broken off without the means to go on.
+    /// The request started, broke off and can't be resumed.
     Failed,
-    /// No back end begins it: engines ended under this very request.
+    /// No back end starts the request because it has crashed engines.
     Quarantined,
 }
 
 impl OutcomeCode {
-    /// The code on the wire and in metrics.
+    /// Name of the code on the wire and in metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             OutcomeCode::NotRun => "not_run",
@@ -58,7 +59,7 @@
         }
     }
 
-    /// The HTTP status that carries the code.
+    /// HTTP status of an answer with this code.
     pub fn status(self) -> u16 {
         match self {
             OutcomeCode::NotRun | OutcomeCode::Overloaded => 503,
@@ -72,21 +73,21 @@
     }
 }
 
-/// An answer other than the work's own result.
+/// An answer that the system gives instead of a back end's.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Refusal {
-    /// The meaning.
+    /// Why the request was refused.
     pub code: OutcomeCode,
-    /// Whether the request ran.
+    /// Whether the request ran on a back end.
     pub ran: Execution,
-    /// How long to wait before sending again, where that makes sense.
+    /// How long to wait before sending the request again, where that makes sense.
     pub retry_after: Option<Millis>,
-    /// One sentence for a person.
+    /// Explanation for a person, one sentence.
     pub message: String,
 }
 
 impl Refusal {
-    /// A refusal of a request that provably did not run.
+    /// A refusal of a request that provably did not run and may be retried.
     pub fn not_run(code: OutcomeCode, retry_after: Millis, message: impl Into<String>) -> Self {
         Refusal {
             code,
@@ -96,7 +97,7 @@
         }
     }
 
-    /// A refusal of a request that is at fault itself: waiting won't help.
+    /// A refusal of a request that did not run and would be refused again after a wait.
     pub fn permanent(code: OutcomeCode, message: impl Into<String>) -> Self {
         Refusal {
             code,
@@ -106,7 +107,7 @@
         }
     }
 
-    /// The answer when a back end may have run the request.
+    /// A refusal of a request that a back end may have run.
     pub fn in_doubt(retry_after: Millis, message: impl Into<String>) -> Self {
         Refusal {
             code: OutcomeCode::InDoubt,
@@ -116,7 +117,7 @@
         }
     }
 
-    /// The answer when work that had begun can't be finished.
+    /// A refusal of a request that started and can't be finished.
     pub fn failed(message: impl Into<String>) -> Self {
         Refusal {
             code: OutcomeCode::Failed,
@@ -127,25 +128,25 @@
     }
 }
 
-/// A whole answer as it is kept for resends.
+/// A complete answer, recorded to answer a resent request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RecordedResponse {
-    /// HTTP status.
+    /// HTTP status of the answer.
     pub status: u16,
-    /// Content type.
+    /// Content type of the body.
     pub content_type: String,
-    /// Body.
+    /// Body of the answer.
     #[serde(with = "serde_bytes")]
     pub body: Vec<u8>,
     /// The back end that gave the answer.
     pub served_by: String,
 }
 
-/// The one final answer of a request.
+/// Final outcome of a request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// The whole answer.
+    /// The complete answer.
     Completed(RecordedResponse),
-    /// No whole answer, and why.
+    /// There is no complete answer, for this reason.
     Refused(Refusal),
 }
--- a/components/types/src/usage.rs
+++ b/components/types/src/usage.rs
@@ -1,4 +1,4 @@
-//! Windows of true time, over which usage is told.
+//! Windows of wall-clock time for which usage is reported.
 
 use std::fmt;
 use std::num::ParseIntError;
@@ -8,8 +8,8 @@
 
 use crate::time::Millis;
 
-/// A window of true time. Window k begins k times its length after the start
-/// of 1970.
+/// A window of wall-clock time. Window `k` begins `k` window lengths after the Unix
+/// epoch.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -17,23 +17,23 @@
 pub struct UsageWindow(pub u64);
 
 impl UsageWindow {
-    /// The window that `time` falls into.
+    /// The window that contains `time`.
     pub fn at(time: Millis, length: Millis) -> Self {
         UsageWindow(time.0 / length.0.max(1))
     }
 
-    /// When it ends, and the next one begins.
+    /// The end of the window, at which the next one begins.
     pub fn end(self, length: Millis) -> Millis {
         Millis(self.0.saturating_add(1).saturating_mul(length.0))
     }
 
-    /// The window after it.
+    /// The following window.
     #[must_use]
     pub fn next(self) -> Self {
         UsageWindow(self.0.saturating_add(1))
     }
 
-    /// The window `count` before it.
+    /// The window that is `count` windows earlier.
     #[must_use]
     pub fn before(self, count: u64) -> Self {
         UsageWindow(self.0.saturating_sub(count))
--- a/components/types/src/verdict.rs
+++ b/components/types/src/verdict.rs
@@ -1,26 +1,26 @@
-//! What a policy says of one request.
+//! A policy's decision about a request.
 
 use serde::{Deserialize, Serialize};
 
 use crate::time::Millis;
 
-/// How urgent a request is; the order of the variants is the order of service.
+/// Urgency of a request. Requests are served in the order of the variants.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(rename_all = "snake_case")]
 pub enum Class {
-    /// Somebody waits at a counter or pays.
+    /// A person is waiting at a counter or paying.
     Urgent,
-    /// Somebody looks at a screen.
+    /// A person is waiting at a screen.
     #[default]
     Interactive,
-    /// May wait for spare capacity.
+    /// The request may wait for spare capacity.
     Deferrable,
 }
 
 impl Class {
-    /// Name on the wire and in metrics.
+    /// Name of the class on the wire and in metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             Class::Urgent => "urgent",
@@ -29,32 +29,32 @@
         }
     }
 
-    /// Every class, most urgent first.
+    /// All classes, most urgent first.
     pub const ALL: [Class; 3] = [Class::Urgent, Class::Interactive, Class::Deferrable];
 }
 
-/// How one request is to be treated.
+/// How a request is to be treated.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Verdict {
-    /// Class of service.
+    /// Urgency of the request.
     pub class: Class,
-    /// Time from arrival to the whole answer.
+    /// Time from the arrival of the request to its complete answer.
     pub deadline: Millis,
-    /// Whether it may wait in a queue.
+    /// Whether the request may wait in a queue.
     pub may_wait: bool,
-    /// Whether it may be sent to a second back end after it may have begun.
+    /// Whether the request may be sent to a second back end once it may have started.
     pub repeatable: bool,
-    /// Tokens a second that the tenant may use.
+    /// Tokens per second that the tenant may use.
     pub tenant_tokens_per_second: f64,
 }
 
-/// Deadline where no policy gives one.
+/// Deadline of a request if no policy sets one.
 pub const DEFAULT_DEADLINE: Millis = Millis::from_secs(30);
-/// Tenant allowance where no policy gives one, in tokens a second.
+/// Tenant allowance in tokens per second, if no policy sets one.
 pub const DEFAULT_TENANT_RATE: f64 = 50_000.0;
 
 impl Default for Verdict {
-    /// The safe result where no policy matches or one fails while it runs.
+    /// The safe decision if no policy matches or if a policy fails during evaluation.
     fn default() -> Self {
         Verdict {
             class: Class::Interactive,
