--- a/components/routes/src/check.rs
+++ b/components/routes/src/check.rs
@@ -1,4 +1,4 @@
-//! Findings of a route table, all together.
+//! Validation of a route table.
 
 use std::collections::{BTreeSet, HashMap};
 use std::fmt;
@@ -9,16 +9,16 @@
 use crate::table::{Route, RouteTable};
 use crate::tenant::{KeyDigest, Tenant};
 
-/// One thing that is wrong with a document.
+/// One error in a route table or its document.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RouteFinding {
-    /// Where, such as `routes[2].timeout_ms`.
+    /// Where the error is, such as `routes[2].timeout_ms`.
     pub place: String,
-    /// What is wrong.
+    /// Description of the error.
     pub message: String,
 }
 
-/// Everything that is wrong with a document.
+/// All errors in a route table or its document.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RouteFindings(pub Vec<RouteFinding>);
 
@@ -31,7 +31,7 @@
         });
     }
 
-    /// Whether nothing was found.
+    /// Whether there are no findings.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
@@ -55,7 +55,7 @@
     /// Checks the whole table.
     ///
     /// # Errors
-    /// Every finding, in the order of the document.
+    /// All findings, in the order of the document.
     pub fn check(&self) -> Result<(), RouteFindings> {
         let mut findings = RouteFindings::default();
         let services = self.check_services(&mut findings);
@@ -83,8 +83,8 @@
                 let place = format!("services[{position}].name");
                 findings.report(place, "another service has this name");
             }
-            let terms = service.buying.as_ref();
-            if terms.is_some_and(|terms| terms.least_in_zone > terms.most_in_zone) {
+            let scaling = service.buying.as_ref();
+            if scaling.is_some_and(|scaling| scaling.least_in_zone > scaling.most_in_zone) {
                 let place = format!("services[{position}].buying.least_in_zone");
                 findings.report(place, "must not be more than most_in_zone");
             }
@@ -123,7 +123,7 @@
     }
 }
 
-/// A key leads to one tenant, and a name to one.
+/// Checks that names are valid and that no two tenants share a name or a key.
 fn check_tenants(tenants: &[Tenant], findings: &mut RouteFindings) {
     let mut names = BTreeSet::new();
     let mut holders: HashMap<KeyDigest, usize> = HashMap::new();
@@ -131,7 +131,7 @@
         let place = format!("tenants[{position}]");
         let name = tenant.name.as_str();
         if name.is_empty() || !name.bytes().all(|byte| byte.is_ascii_graphic()) {
-            // Back ends are told the name in a header.
+            // The name is sent to back ends in a header.
             let message = "must be printable ASCII without blanks";
             findings.report(format!("{place}.name"), message);
         }
--- a/components/routes/src/document.rs
+++ b/components/routes/src/document.rs
@@ -1,12 +1,12 @@
-//! A route table as operators write it: JSON in the table's own words.
+//! Documents that operators write: a route table in JSON, with the table's field names.
 
 use crate::check::RouteFindings;
 use crate::table::RouteTable;
 
-/// Reads and checks a document.
+/// Parses and checks a document.
 ///
 /// # Errors
-/// Every finding; a text that is no document at all is one finding.
+/// All findings. A text that can't be parsed has a single finding.
 pub fn read_document(text: &str) -> Result<RouteTable, RouteFindings> {
     let table: RouteTable = serde_json::from_str(text).map_err(|error| {
         let mut findings = RouteFindings::default();
--- a/components/routes/src/lib.rs
+++ b/components/routes/src/lib.rs
@@ -1,10 +1,10 @@
-//! The route table: which service takes a request, and within which bounds.
+//! The route table: which service handles a request, and within which limits.
 //!
-//! Contract: a [`RouteTable`] is a whole document under a version that only
-//! rises. [`RouteTable::check`] reports every finding together, each with its
-//! place; a table with findings never comes into force. [`RouteIndex`] finds
-//! the route of a request by host and longest path prefix, and the tenant of a
-//! key.
+//! Contract: a [`RouteTable`] is a full document with a version that only
+//! increases. [`RouteTable::check`] reports all findings together, each with its
+//! place in the document; a table with findings never takes effect.
+//! [`RouteIndex`] finds the route of a request by host and longest path prefix,
+//! and the tenant that holds a key.
 
 mod check;
 mod document;
--- a/components/routes/src/table.rs
+++ b/components/routes/src/table.rs
@@ -1,4 +1,4 @@
-//! What a route table holds.
+//! Contents of a route table.
 
 use std::collections::BTreeMap;
 
@@ -7,22 +7,22 @@
 
 use crate::tenant::Tenant;
 
-/// Whether a request may run more than once, and how it is answered.
+/// Whether a request may run more than once, and whether its answer is a stream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum WorkKind {
-    /// May run any number of times.
+    /// The request may run any number of times.
     Repeatable,
-    /// May run at most once for each request of a caller.
+    /// The request may run at most once.
     AtMostOnce,
-    /// A stream of events that can't be taken up again: at most once.
+    /// A stream of events that can't be resumed; the request may run at most once.
     Stream,
-    /// A stream of events that another back end can go on with.
+    /// A stream of events that another back end can resume.
     ResumableStream,
 }
 
 impl WorkKind {
-    /// Whether a second run does no harm.
+    /// Whether the request may run more than once.
     pub fn may_repeat(self) -> bool {
         matches!(self, WorkKind::Repeatable | WorkKind::ResumableStream)
     }
@@ -32,7 +32,7 @@
         matches!(self, WorkKind::Stream | WorkKind::ResumableStream)
     }
 
-    /// Name in logs and metrics.
+    /// Name of the kind in logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             WorkKind::Repeatable => "repeatable",
@@ -47,41 +47,42 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct WeightedService {
-    /// The service.
+    /// Name of the service.
     pub service: ServiceId,
-    /// Its share, relative to the other weights of the route.
+    /// Share of the requests, relative to the other weights of the route.
     pub weight: u32,
 }
 
-/// Where requests of one host and path prefix go.
+/// How requests with one host and path prefix are handled.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Route {
-    /// Name in logs and metrics.
+    /// Name of the route in logs and metrics.
     pub name: String,
-    /// Host of the requests, without a port.
+    /// Host of the requests, without the port.
     pub host: String,
-    /// Beginning of their paths; it begins and ends with a slash.
+    /// Prefix of the requests' paths; it begins and ends with a slash.
     pub path_prefix: String,
-    /// What may be done with them.
+    /// Whether the requests may run more than once and are answered by streams.
     pub kind: WorkKind,
-    /// Longest time that one is worked on.
+    /// Timeout of a request.
     pub timeout_ms: Millis,
-    /// Time within which an answer, or the first event of a stream, is useful.
+    /// Target for the time to an answer, or to the first event of a stream. A later one
+    /// is of no use.
     pub objective_ms: Millis,
-    /// Longest useful pause between two events of a stream.
+    /// Target for the time between two events of a stream. A longer pause is of no use.
     #[serde(default)]
     pub pause_objective_ms: Option<Millis>,
-    /// Rank among routes of a service: 0 is the most urgent.
+    /// Priority among the routes of a service; 0 is the most urgent.
     #[serde(default)]
     pub priority: u8,
-    /// Most back ends that one request may be sent to.
+    /// Maximum number of back ends to which one request may be sent.
     #[serde(default = "one_attempt")]
     pub max_attempts: u32,
-    /// Whether callers need no key, where the table has tenants.
+    /// Whether callers need no API key although the table has tenants.
     #[serde(default)]
     pub public: bool,
-    /// Services that share the requests.
+    /// Services among which the requests are split.
     pub services: Vec<WeightedService>,
 }
 
@@ -89,27 +90,28 @@
     1
 }
 
-/// What the engines of a service can hold, as the operator states it.
+/// Limits of each engine of a service, as set by the operator.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EngineLimits {
-    /// Sequences that run at once.
+    /// Sequences that can run at once.
     pub slots: u64,
-    /// Tokens of KV cache that fit in its memory.
+    /// Tokens of KV cache that fit into memory.
     pub cache_tokens: u64,
     /// Bytes of KV cache of one token.
     pub token_bytes: u64,
-    /// Bandwidth of one engine's link, in megabits a second.
+    /// Bandwidth of the engine's network link, in megabits per second.
     pub link_mbps: u64,
-    /// How long an engine is out of service for a change of role.
+    /// How long a change of role takes the engine out of service.
     pub role_change_ms: Millis,
-    /// How long a KV cache that was prefilled for another engine is kept for it.
+    /// How long an engine keeps a KV cache that it prefilled for another engine.
     pub handover_ms: Millis,
 }
 
 impl EngineLimits {
-    /// Requests like those under way, which hold so many tokens together, that
-    /// an engine takes at once: by its slots or by its memory.
+    /// Number of requests that the engine can run at once, limited by its slots or by its
+    /// memory. Assumes requests of the mean size of the `requests` in flight, which hold
+    /// `held_tokens` tokens in total.
     pub fn effective_slots(&self, requests: u64, held_tokens: u64) -> f64 {
         let request_tokens = held_tokens as f64 / requests.max(1) as f64;
         let by_memory = self.cache_tokens as f64 / request_tokens.max(1.0);
@@ -117,8 +119,7 @@
     }
 }
 
-/// A price, in thousandths of that of a dedicated engine at the usual price of
-/// its zone.
+/// A price, in thousandths of a dedicated engine's standard price in its zone.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -126,63 +127,63 @@
 pub struct PriceMilli(pub u32);
 
 impl PriceMilli {
-    /// The price nearest to this part of the usual one; a negative one is none.
+    /// The price nearest to this fraction of the standard price. A negative fraction
+    /// becomes 0.
     pub fn from_fraction(fraction: f64) -> Self {
         PriceMilli((fraction * 1000.0).round() as u32)
     }
 
-    /// As a part of the usual price.
+    /// The price as a fraction of the standard price.
     pub fn as_f64(self) -> f64 {
         f64::from(self.0) / 1000.0
     }
 }
 
-/// On which terms engines of a service are bought and given back.
+/// How the engine fleet of a service is scaled by buying and returning engines.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ScalingSettings {
-    /// Fewest engines of a zone, of all kinds together.
+    /// Minimum number of engines per zone, dedicated and preemptible together.
     pub least_in_zone: u32,
-    /// Most engines of a zone, of all kinds together.
+    /// Maximum number of engines per zone, dedicated and preemptible together.
     pub most_in_zone: u32,
-    /// Time until an engine that was bought serves.
+    /// Time from the purchase of an engine until it serves requests.
     pub start_ms: Millis,
-    /// Price of engines that the provider may take away; `None` where there
-    /// are none.
+    /// Price of preemptible engines; `None` if there are none.
     #[serde(default)]
     pub preemptible_price: Option<PriceMilli>,
-    /// Price of engines by zone, where it is not the usual one.
+    /// Prices of engines in zones whose price differs from the standard one.
     #[serde(default)]
     pub zone_prices: BTreeMap<String, PriceMilli>,
 }
 
-/// One service that routes may name.
+/// A service to which routes can refer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServiceSettings {
-    /// Its name.
+    /// Name of the service.
     pub name: ServiceId,
-    /// Connections that one back end takes from all gateways together.
+    /// Connections that one back end accepts from all gateways together.
     pub max_connections: u64,
-    /// Limits of its engines; `None` for an application.
+    /// Limits of the service's engines; `None` for an application.
     #[serde(default)]
     pub engine: Option<EngineLimits>,
-    /// How its engines are bought; `None` leaves the fleet as it is.
+    /// How the fleet is scaled; `None` leaves its size unchanged.
     #[serde(default)]
     pub buying: Option<ScalingSettings>,
 }
 
-/// Bounds on what callers may send.
+/// Limits on callers' requests and connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CallerLimits {
-    /// Largest head of a request, in bytes.
+    /// Maximum size of a request's head, in bytes.
     pub max_head_bytes: u64,
-    /// Largest body of a request, in bytes.
+    /// Maximum size of a request's body, in bytes.
     pub max_body_bytes: u64,
-    /// Longest time until a head is whole.
+    /// Timeout for receiving a complete request head.
     pub head_timeout_ms: Millis,
-    /// Longest time that a kept connection rests.
+    /// Timeout of an idle keep-alive connection.
     pub idle_timeout_ms: Millis,
 }
 
@@ -197,33 +198,33 @@
     }
 }
 
-/// All routes and services at one version.
+/// All routes, services and tenants at one version.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RouteTable {
-    /// Version of the document; the highest one is in force.
+    /// Version of the document; the highest version is in effect.
     pub version: u64,
-    /// Routes.
+    /// All routes.
     pub routes: Vec<Route>,
-    /// Services that they name.
+    /// Services to which the routes refer.
     pub services: Vec<ServiceSettings>,
-    /// Bounds on callers.
+    /// Limits on callers.
     #[serde(default)]
     pub limits: CallerLimits,
-    /// Who may send requests; `None` asks nobody for a key.
+    /// Tenants that may send requests; `None` if callers need no key.
     #[serde(default)]
     pub tenants: Option<Vec<Tenant>>,
 }
 
 impl RouteTable {
-    /// Connections that one back end of a service takes from all gateways together, where
-    /// the table has the service.
+    /// Connections that one back end of a service accepts from all gateways together;
+    /// `None` if the table does not have the service.
     pub fn connection_limit(&self, service: &ServiceId) -> Option<u64> {
         let settings = self.services.iter().find(|s| s.name == *service)?;
         Some(settings.max_connections)
     }
 
-    /// What the engines of a service can hold, where the table tells.
+    /// Limits of a service's engines, if the table has them.
     pub fn engine_limits(&self, service: &ServiceId) -> Option<EngineLimits> {
         let settings = self.services.iter().find(|s| s.name == *service)?;
         settings.engine
--- a/components/routes/src/tenant.rs
+++ b/components/routes/src/tenant.rs
@@ -1,8 +1,8 @@
-//! Tenants and the keys that callers prove themselves with.
+//! Tenants and the keys with which their callers authenticate.
 //!
-//! A key is a secret: [`ApiKey`] and [`KeyDigest`] print nothing of it, and
-//! only digests are kept in a table. [`Tenants`] leads from a key to its tenant
-//! in one look-up.
+//! A key is a secret: the `Debug` output of [`ApiKey`] and [`KeyDigest`] reveals
+//! nothing of it, and a table holds only digests. [`Tenants`] maps a key to its
+//! tenant in one look-up.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -17,23 +17,23 @@
 use subtle::ConstantTimeEq;
 use thiserror::Error;
 
-/// Bytes of a digest.
+/// Size of a digest in bytes.
 const DIGEST_BYTES: usize = 32;
-/// What the text of a digest begins with.
+/// Prefix of a digest in text.
 const DIGEST_KIND: &str = "sha256:";
 
-/// A key as a caller presents it.
+/// A key as sent by a caller.
 #[derive(Clone, PartialEq, Eq)]
 pub struct ApiKey(String);
 
 impl ApiKey {
-    /// The key; `None` where the text holds none.
+    /// The key in `text`; `None` if the text is empty.
     pub fn new(text: impl Into<String>) -> Option<Self> {
         let text = text.into();
         (!text.is_empty()).then_some(ApiKey(text))
     }
 
-    /// What is kept of the key.
+    /// Digest of the key, which is what tables hold.
     pub fn digest(&self) -> KeyDigest {
         KeyDigest(Sha256::digest(self.0.as_bytes()).into())
     }
@@ -45,13 +45,13 @@
     }
 }
 
-/// The SHA-256 digest of a key. Digests are compared in constant time. In text
-/// it is `sha256:` and 64 hexadecimal digits.
+/// The SHA-256 digest of a key, written as `sha256:` and 64 hexadecimal digits.
+/// Digests are compared in constant time.
 #[derive(Clone, Copy)]
 pub struct KeyDigest([u8; DIGEST_BYTES]);
 
-/// A text that is no digest of a key. It does not repeat the text, which may
-/// be a key.
+/// Why a text is not a digest of a key. The message does not repeat the text,
+/// which may be a key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display, Error)]
 pub enum KeyDigestError {
     /// a digest begins with "sha256:"
@@ -100,8 +100,8 @@
             return Err(KeyDigestError::Malformed);
         }
         let mut digest = [0; DIGEST_BYTES];
-        for (place, byte) in digest.iter_mut().enumerate() {
-            let pair = &digits[2 * place..2 * place + 2];
+        for (position, byte) in digest.iter_mut().enumerate() {
+            let pair = &digits[2 * position..2 * position + 2];
             *byte = u8::from_str_radix(pair, 16).map_err(|_| KeyDigestError::Malformed)?;
         }
         Ok(KeyDigest(digest))
@@ -129,33 +129,34 @@
     }
 }
 
-/// Who may send requests, and with which keys.
+/// A tenant that may send requests, with its keys.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Tenant {
-    /// Its name, which back ends are told.
+    /// Name of the tenant, which is sent to back ends.
     pub name: TenantId,
-    /// Rank of its requests, ahead of their routes': 0 is the most urgent.
+    /// Priority of the tenant's requests, which takes precedence over their routes'
+    /// priorities; 0 is the most urgent.
     #[serde(default)]
     pub priority: Option<u8>,
-    /// Digests of its keys.
+    /// Digests of the tenant's keys.
     pub keys: Vec<KeyDigest>,
 }
 
-/// The tenants of a table, made ready for looking up by key.
+/// Index of a table's tenants by key.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Tenants {
     by_key: HashMap<KeyDigest, usize>,
-    /// Priority of the least urgent tenants.
+    /// Priority number of the least urgent tenants.
     pub(crate) least_urgent: u8,
 }
 
 impl Tenants {
-    /// Indexes tenants that were checked.
+    /// Indexes tenants that have been checked.
     pub(crate) fn new(tenants: &[Tenant]) -> Self {
         let mut by_key = HashMap::with_capacity(tenants.iter().map(|t| t.keys.len()).sum());
-        for (place, tenant) in tenants.iter().enumerate() {
-            by_key.extend(tenant.keys.iter().map(|key| (*key, place)));
+        for (position, tenant) in tenants.iter().enumerate() {
+            by_key.extend(tenant.keys.iter().map(|key| (*key, position)));
         }
         let least = tenants.iter().filter_map(|tenant| tenant.priority).max();
         Tenants {
@@ -164,8 +165,8 @@
         }
     }
 
-    /// Place of the tenant that holds a key.
-    pub(crate) fn place_of(&self, key: &ApiKey) -> Option<usize> {
+    /// Position of the tenant that holds a key.
+    pub(crate) fn position_of(&self, key: &ApiKey) -> Option<usize> {
         self.by_key.get(&key.digest()).copied()
     }
 }
--- a/components/routes/tests/limits.rs
+++ b/components/routes/tests/limits.rs
@@ -1,4 +1,4 @@
-//! What the engines of a service can hold.
+//! Engine limits: slots, memory and look-up by service.
 
 use garnet_routes::{EngineLimits, RouteTable, ServiceSettings};
 use garnet_types::{Millis, ServiceId};
@@ -14,16 +14,16 @@
 };
 
 #[rstest]
-#[case::nothing_is_held(0, 0, 48.0)]
+#[case::no_requests_in_flight(0, 0, 48.0)]
 #[case::short_requests_fill_the_slots(10, 10_000, 48.0)]
-#[case::long_ones_fill_the_memory(10, 100_000, 30.0)]
-#[case::one_larger_than_the_memory(1, 600_000, 0.5)]
-fn requests_that_an_engine_takes_at_once(
+#[case::long_requests_fill_the_memory(10, 100_000, 30.0)]
+#[case::one_request_larger_than_the_memory(1, 600_000, 0.5)]
+fn effective_slots_are_limited_by_slots_or_memory(
     #[case] requests: u64,
     #[case] held_tokens: u64,
-    #[case] places: f64,
+    #[case] expected: f64,
 ) {
-    assert_eq!(LIMITS.effective_slots(requests, held_tokens), places);
+    assert_eq!(LIMITS.effective_slots(requests, held_tokens), expected);
 }
 
 #[test]
--- a/components/routes/tests/tenants.rs
+++ b/components/routes/tests/tenants.rs
@@ -1,4 +1,4 @@
-//! Tenants, their keys and their ranks.
+//! Tenants, their keys and their priorities.
 
 use garnet_routes::{
     ApiKey, KeyDigest, Route, RouteIndex, RouteTable, Tenant, WorkKind, read_document,
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn a_key_leads_to_its_tenant() {
+fn a_tenant_is_found_by_its_keys() {
     let tenants = vec![
         tenant("one", None, &["k1", "k2"]),
         tenant("two", None, &["k3"]),
@@ -65,13 +65,13 @@
 }
 
 #[test]
-fn a_table_without_tenants_asks_nobody() {
+fn a_table_without_tenants_asks_for_no_keys() {
     assert!(!RouteIndex::new(RouteTable::default()).asks_for_keys());
     assert!(RouteIndex::new(table(Vec::new())).asks_for_keys());
 }
 
 #[test]
-fn all_findings_of_tenants_come_together() {
+fn all_findings_of_tenants_are_reported_together() {
     let tenants = vec![
         tenant("one", None, &["k1", "k1"]),
         tenant("one", None, &["k2", "k1"]),
@@ -88,17 +88,17 @@
 }
 
 #[test]
-fn a_tenant_may_state_a_key_twice() {
+fn a_tenant_may_list_a_key_twice() {
     let tenants = vec![tenant("one", None, &["k1", "k1"])];
     assert_eq!(places(&table(tenants)), Vec::<String>::new());
 }
 
-/// Routes have the priorities 0, 1 and 2.
+/// The expected priorities are those on routes of the priorities 0, 1 and 2.
 #[rstest]
-#[case::nobody(None, [0, 1, 2])]
+#[case::no_priority(None, [0, 1, 2])]
 #[case::least_urgent(Some(1), [0, 1, 2])]
 #[case::urgent(Some(0), [0, 0, 0])]
-fn a_tenants_priority_comes_ahead_of_the_routes(
+fn a_tenants_priority_takes_precedence_over_the_routes(
     #[case] priority: Option<u8>,
     #[case] expected: [u8; 3],
 ) {
@@ -112,33 +112,33 @@
         ..table(tenants)
     });
     let asked = index.tenant_of(&key("k1"));
-    let ranks: Vec<u8> = routes
+    let priorities: Vec<u8> = routes
         .iter()
         .map(|route| index.priority(route, asked))
         .collect();
-    assert_eq!(ranks, expected);
+    assert_eq!(priorities, expected);
 }
 
 #[test]
-fn nothing_prints_a_key() {
+fn debug_output_does_not_reveal_a_key() {
     let secret = "s3cret-of-one";
     let printed = format!("{:?} {:?}", key(secret), tenant("one", None, &[secret]));
     assert!(!printed.contains(secret), "{printed}");
 }
 
 #[test]
-fn a_digest_is_read_as_it_is_written() {
+fn a_digest_survives_formatting_and_parsing() {
     let digest = key("k1").digest();
     let text = digest.to_string();
     assert_eq!(text.parse::<KeyDigest>(), Ok(digest));
-    let upper = text.replace(|c: char| c.is_ascii_hexdigit() && c.is_lowercase(), "x");
-    assert!(upper.parse::<KeyDigest>().is_err());
+    let invalid = text.replace(|c: char| c.is_ascii_hexdigit() && c.is_lowercase(), "x");
+    assert!(invalid.parse::<KeyDigest>().is_err());
     assert!(text[..70].parse::<KeyDigest>().is_err());
     assert!("k1".parse::<KeyDigest>().is_err());
 }
 
 #[test]
-fn a_document_holds_digests_and_no_keys() {
+fn a_document_accepts_digests_and_no_plain_keys() {
     let digest = key("k1").digest();
     let document = |key: &str| {
         format!(
@@ -146,8 +146,8 @@
              \"tenants\":[{{\"name\":\"one\",\"keys\":[\"{key}\"]}}]}}"
         )
     };
-    let read = read_document(&document(&digest.to_string())).expect("sound");
-    assert!(RouteIndex::new(read).tenant_of(&key("k1")).is_some());
+    let parsed = read_document(&document(&digest.to_string())).expect("valid");
+    assert!(RouteIndex::new(parsed).tenant_of(&key("k1")).is_some());
     let findings = read_document(&document("k1-secret")).expect_err("no digest");
     assert!(!findings.to_string().contains("k1-secret"), "{findings}");
 }
