--- a/components/engine-api/src/events.rs
+++ b/components/engine-api/src/events.rs
@@ -1,16 +1,16 @@
-//! Server-sent events from a body that comes in chunks.
+//! Encoding and decoding of server-sent events.
 
-/// Cuts a stream of bytes into the `data:` lines of server-sent events.
+/// Decodes the `data:` lines of server-sent events from a body that arrives in chunks.
 #[derive(Debug, Default)]
 pub struct EventReader {
     buffer: Vec<u8>,
 }
 
-/// Start of a line that carries data.
+/// Prefix of a line that carries data.
 const DATA: &[u8] = b"data: ";
 
 impl EventReader {
-    /// Takes a chunk and gives the data of every line that is now whole.
+    /// Adds a chunk and returns the data of all lines that it completes.
     pub fn push(&mut self, chunk: &[u8]) -> Vec<Vec<u8>> {
         self.buffer.extend_from_slice(chunk);
         let mut events = Vec::new();
@@ -24,7 +24,7 @@
     }
 }
 
-/// One event's bytes.
+/// Encodes one server-sent event with the given data.
 pub fn encode_event(data: &str) -> Vec<u8> {
     format!("data: {data}\n\n").into_bytes()
 }
--- a/components/engine-api/src/lib.rs
+++ b/components/engine-api/src/lib.rs
@@ -1,7 +1,7 @@
-//! Bodies of the HTTP interface of engines and of the platform.
+//! Headers, paths and bodies of the HTTP interface of engines and of the platform.
 //!
-//! Source: docs/engine-interface.md. JSON everywhere; a generated text comes
-//! as server-sent events, one JSON object each.
+//! Specified in docs/engine-interface.md. Bodies are JSON; a generated text is sent
+//! as server-sent events, each of which is a JSON object.
 
 mod events;
 
@@ -11,48 +11,48 @@
 use garnet_types::{Class, MachineState};
 use serde::{Deserialize, Serialize};
 
-/// Set to `no` on a response that says the request was not begun.
+/// Header that is set to [`NOT_STARTED`] on a response to a request that was not started.
 pub const STARTED_HEADER: &str = "garnet-started";
-/// Requests a second that a back end takes from all gateways together, on each of its
-/// answers while it is overloaded: a decimal number.
+/// Header with the requests per second that a back end accepts from all gateways together,
+/// a decimal number. An overloaded back end sets it on each of its answers.
 pub const LIMIT_HEADER: &str = "garnet-request-limit";
-/// Set to [`DRAINING`] by a back end that ends soon, on each of its answers.
+/// Header that is set to [`DRAINING`] on each answer of a back end that will stop soon.
 pub const DRAINING_HEADER: &str = "garnet-draining";
 /// Value of [`DRAINING_HEADER`].
 pub const DRAINING: &str = "1";
-/// On a response with [`STARTED_HEADER`]: the backoff that the back end requests of this
-/// gateway.
+/// Header for the backoff that a back end requests from this gateway, on a response with
+/// [`STARTED_HEADER`].
 pub const RETRY_AFTER_HEADER: &str = "retry-after";
-/// Value of [`STARTED_HEADER`] that says so.
+/// Value of [`STARTED_HEADER`] for a request that was not started.
 pub const NOT_STARTED: &str = "no";
-/// Status of such a response from an engine.
+/// Status of an engine's response to a request that it did not start.
 pub const REJECTED_STATUS: u16 = 409;
 
-/// Paths of an engine.
+/// Paths of engines, applications and the platform.
 pub mod paths {
-    /// `POST`: read a prompt.
+    /// `POST`: prefills a prompt.
     pub const PREFILL: &str = "/v1/prefill";
-    /// `POST`: generate a text.
+    /// `POST`: generates a text.
     pub const GENERATE: &str = "/v1/generate";
-    /// `GET`: load report.
+    /// `GET`: the engine's load report.
     pub const LOAD: &str = "/v1/load";
-    /// `GET`: state.
+    /// `GET`: the engine's state.
     pub const STATUS: &str = "/v1/status";
-    /// `POST`: an order.
+    /// `POST`: gives the engine an order.
     pub const ORDERS: &str = "/v1/orders";
-    /// `GET` with `/{handle}` behind: an exported KV cache.
+    /// `GET` with `/{handle}` appended: an exported KV cache.
     pub const KV: &str = "/v1/kv";
-    /// `POST`: faults on command.
+    /// `POST`: injects faults into the engine.
     pub const FAULTS: &str = "/v1/faults";
-    /// `GET`, `POST`: the platform's machines.
+    /// `GET`: the platform's list of machines. `POST`: registers a machine.
     pub const MACHINES: &str = "/machines";
-    /// `POST`: the platform's state of one machine.
+    /// `POST`: sets the state of a machine in the platform's list.
     pub const MACHINE_STATE: &str = "/machines/state";
-    /// `POST`: a turn at the platform's weight store.
+    /// `POST`: asks the platform's weight store for permission to load a model.
     pub const WEIGHTS: &str = "/weights";
-    /// `GET`: an application's journal.
+    /// `GET`: the application's journal of runs.
     pub const JOURNAL: &str = "/journal";
-    /// `POST`: an application's faults.
+    /// `POST`: injects faults into the application.
     pub const APPLICATION_FAULTS: &str = "/faults";
 }
 
@@ -70,16 +70,16 @@
 /// Answer to [`paths::PREFILL`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PrefillResponse {
-    /// Name of the KV cache.
+    /// Handle of the exported KV cache.
     pub handle: u64,
 }
 
-/// A KV cache at another engine.
+/// Location of a KV cache on another engine.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KvLocation {
     /// Address of the engine.
     pub address: String,
-    /// Its name there.
+    /// Handle of the KV cache on that engine.
     pub handle: u64,
 }
 
@@ -90,10 +90,10 @@
     pub model: String,
     /// The prompt.
     pub prompt: String,
-    /// Tokens of the whole text.
+    /// Number of tokens of the complete text.
     pub max_tokens: u64,
-    /// First token wanted: a resumed stream asks for the one after the last
-    /// that was delivered.
+    /// Index of the first token to send. A resumed stream asks for the token after the
+    /// last one that was delivered.
     pub from_token: u64,
     /// KV cache to import.
     pub kv: Option<KvLocation>,
@@ -105,16 +105,16 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum GenerateEvent {
-    /// A token.
+    /// One token.
     Token {
-        /// Its number.
+        /// Index of the token in the text.
         index: u64,
-        /// Its text.
+        /// Text of the token.
         text: String,
     },
-    /// The explicit end.
+    /// Marks the end of the text.
     End {
-        /// Tokens of the whole text.
+        /// Number of tokens of the complete text.
         total: u64,
     },
 }
@@ -122,17 +122,17 @@
 /// Answer to [`paths::KV`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KvExport {
-    /// Tokens that it covers.
+    /// Number of tokens that the KV cache covers.
     pub tokens: u64,
 }
 
-/// [`NotStarted::reason`] where the KV cache to import is not there.
+/// [`NotStarted::reason`] if the KV cache to import is not available.
 pub const REASON_NO_KV: &str = "no_kv";
 
-/// Body of a response that says the request was not begun.
+/// Body of a response to a request that was not started.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NotStarted {
-    /// `draining`, `wrong_model`, `wrong_role`, `no_kv` or `overloaded`.
+    /// One of `draining`, `wrong_model`, `wrong_role`, `no_kv` or `overloaded`.
     pub reason: String,
 }
 
@@ -140,34 +140,34 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// Ends the process at once.
+    /// Crashes the process at once.
     pub crash: bool,
-    /// Ends the process when the next order has been accepted.
+    /// Crashes the process once it has accepted the next order.
     pub crash_in_order: bool,
-    /// Stops the whole process for so long.
+    /// Freezes the whole process for this many milliseconds.
     pub freeze_ms: u64,
-    /// Makes work take so many times as long.
+    /// Factor by which work takes longer.
     pub slow: u64,
-    /// Refuses new work.
+    /// Rejects new work.
     pub refuse: bool,
-    /// Refuses new work with this in [`RETRY_AFTER_HEADER`]; empty for none.
+    /// Rejects new work with this value of [`RETRY_AFTER_HEADER`], unless empty.
     pub retry_after: String,
-    /// Reports draining and takes work on.
+    /// Reports draining and still accepts work.
     pub reports_draining: bool,
-    /// Names this in [`LIMIT_HEADER`]; empty for none.
+    /// Sends this value of [`LIMIT_HEADER`], unless empty.
     pub limit_per_s: String,
-    /// An application waits so long before it runs a call.
+    /// Makes an application wait this many milliseconds before it runs a call.
     pub delay_ms: u64,
-    /// An application closes the connection after it ran the next call.
+    /// Makes an application run the next call and close the connection without an answer.
     pub lose_next_answer: bool,
 }
 
 /// Body of [`paths::MACHINE_STATE`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MachineStateRequest {
-    /// Name of the back end.
+    /// Identifier of the back end.
     pub id: String,
-    /// Its state.
+    /// New state of its machine.
     pub state: MachineState,
 }
 
--- a/components/settings/src/finding.rs
+++ b/components/settings/src/finding.rs
@@ -1,19 +1,19 @@
-//! What is wrong with a document, and where.
+//! Errors found in a document, with their places.
 
 use std::fmt;
 
 use thiserror::Error;
 
-/// One mistake with its place.
+/// One error in a document, with its place.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Finding {
-    /// The file or document.
+    /// Name of the file or document.
     pub file: String,
-    /// Line, from 1.
+    /// Line number, starting at 1.
     pub line: usize,
-    /// Dotted key; empty when the mistake concerns no key.
+    /// Dotted key; empty if the error concerns no key.
     pub key: String,
-    /// What is wrong.
+    /// Description of the error.
     pub message: String,
 }
 
@@ -27,15 +27,15 @@
     }
 }
 
-/// All mistakes of a document, in the order of their lines.
+/// All findings of a document, in the order of their lines.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Error)]
 pub struct Findings(pub Vec<Finding>);
 
 impl Findings {
-    /// The findings as an error, or `value` when there are none.
+    /// Returns `value` if there are no findings.
     ///
     /// # Errors
-    /// When there is at least one finding.
+    /// The findings, sorted by line, if there is at least one.
     pub fn into_result<T>(mut self, value: T) -> Result<T, Findings> {
         if self.0.is_empty() {
             return Ok(value);
--- a/components/settings/src/lib.rs
+++ b/components/settings/src/lib.rs
@@ -1,8 +1,8 @@
-//! TOML documents, read with every finding collected.
+//! A reader for TOML documents that collects all errors.
 //!
-//! Contract: reading goes on after a mistake, so that all findings of one
+//! Contract: reading continues after an error, so that all findings of a
 //! document are reported together, each with its file, line and key. Settings
-//! files and policies are both read this way.
+//! files and policies are both read with this crate.
 
 mod finding;
 mod reader;
--- a/components/settings/src/reader.rs
+++ b/components/settings/src/reader.rs
@@ -1,4 +1,4 @@
-//! Typed access to a TOML document that records findings as it goes.
+//! Typed access to a TOML document; errors are recorded as findings.
 
 use std::cell::RefCell;
 use std::ops::RangeInclusive;
@@ -10,14 +10,15 @@
 use crate::finding::{Finding, Findings};
 use crate::suggestion::nearest;
 
+/// State of a document that all its table readers share.
 #[derive(Debug)]
-struct Shared {
+struct DocumentState {
     file: String,
     text: String,
     findings: RefCell<Vec<Finding>>,
 }
 
-impl Shared {
+impl DocumentState {
     fn report(&self, offset: usize, key: &str, message: String) {
         let end = offset.min(self.text.len());
         let line = self.text.as_bytes()[..end]
@@ -34,14 +35,14 @@
     }
 }
 
-/// A document and what was found wrong with it so far.
+/// A document and its findings so far.
 #[derive(Debug, Clone)]
 pub struct Document {
-    shared: Rc<Shared>,
+    state: Rc<DocumentState>,
 }
 
 impl Document {
-    /// Reads `text` with `read` and returns its value, or every finding.
+    /// Parses `text`, reads it with `read` and returns the value of `read`.
     ///
     /// # Errors
     /// All findings of the document, in the order of their lines.
@@ -50,7 +51,7 @@
         text: &str,
         read: impl FnOnce(&mut TableReader<'_>) -> T,
     ) -> Result<T, Findings> {
-        let shared = Rc::new(Shared {
+        let state = Rc::new(DocumentState {
             file: file.to_owned(),
             text: text.to_owned(),
             findings: RefCell::default(),
@@ -59,13 +60,13 @@
             Ok(parsed) => parsed,
             Err(error) => {
                 let offset = error.span().map_or(0, |span| span.start);
-                shared.report(offset, "", error.message().to_owned());
-                return Err(Findings(shared.findings.take()));
+                state.report(offset, "", error.message().to_owned());
+                return Err(Findings(state.findings.take()));
             }
         };
         let mut reader = TableReader {
             document: Document {
-                shared: Rc::clone(&shared),
+                state: Rc::clone(&state),
             },
             table: parsed.get_ref(),
             offset: 0,
@@ -75,12 +76,12 @@
         };
         let value = read(&mut reader);
         reader.finish();
-        Findings(shared.findings.take()).into_result(value)
+        Findings(state.findings.take()).into_result(value)
     }
 }
 
-/// One table of a document. Every key that is asked for is known; keys that
-/// were never asked for are findings.
+/// Reads one table of a document. A key becomes known when it is read; at the end,
+/// every key of the table that is still unknown is a finding.
 #[derive(Debug)]
 pub struct TableReader<'a> {
     document: Document,
@@ -92,13 +93,13 @@
 }
 
 impl<'a> TableReader<'a> {
-    /// Leaves keys aside that were never asked for, here and in the tables that
-    /// are read from here on: for documents that others extend.
+    /// Ignores unknown keys in this table and in the child tables that are read after this
+    /// call. Meant for documents to which other programs add their own keys.
     pub fn allow_unknown_keys(&mut self) {
         self.allows_unknown_keys = true;
     }
 
-    /// Text at `key`.
+    /// The string at `key`.
     pub fn string(&mut self, key: &'static str) -> Option<String> {
         let value = self.value(key)?;
         match value.get_ref() {
@@ -107,7 +108,7 @@
         }
     }
 
-    /// A whole number at `key` within `range`.
+    /// The integer at `key`, which must be in `range`.
     pub fn integer(&mut self, key: &'static str, range: RangeInclusive<u64>) -> Option<u64> {
         let value = self.value(key)?;
         let DeValue::Integer(number) = value.get_ref() else {
@@ -124,7 +125,7 @@
         }
     }
 
-    /// A number at `key` within `range`.
+    /// The number at `key`, which must be in `range`.
     pub fn float(&mut self, key: &'static str, range: RangeInclusive<f64>) -> Option<f64> {
         let value = self.value(key)?;
         let parsed = match value.get_ref() {
@@ -142,7 +143,7 @@
         }
     }
 
-    /// `true` or `false` at `key`.
+    /// The boolean at `key`.
     pub fn boolean(&mut self, key: &'static str) -> Option<bool> {
         let value = self.value(key)?;
         match value.get_ref() {
@@ -151,7 +152,7 @@
         }
     }
 
-    /// One of a closed set of words at `key`.
+    /// The value of the word at `key`, which must be one of `choices`.
     pub fn choice<T: Copy>(
         &mut self,
         key: &'static str,
@@ -170,7 +171,7 @@
         found.map(|(_, value)| *value)
     }
 
-    /// Texts of a list at `key`.
+    /// The strings of the list at `key`.
     pub fn strings(&mut self, key: &'static str) -> Vec<String> {
         let Some(value) = self.value(key) else {
             return Vec::new();
@@ -190,7 +191,7 @@
         texts
     }
 
-    /// Whole numbers of a list at `key`, each within `range`.
+    /// The integers of the list at `key`, each of which must be in `range`.
     pub fn integers(&mut self, key: &'static str, range: RangeInclusive<u64>) -> Vec<u64> {
         let Some(value) = self.value(key) else {
             return Vec::new();
@@ -223,7 +224,7 @@
         numbers
     }
 
-    /// The table at `key`, read with `read`.
+    /// Reads the table at `key` with `read`.
     pub fn table<T>(
         &mut self,
         key: &'static str,
@@ -236,7 +237,7 @@
         Some(self.read_child(table, value.span().start, self.dotted(key), read))
     }
 
-    /// The tables of `[[key]]`, each read with `read`.
+    /// Reads each table of the array `[[key]]` with `read`.
     pub fn tables<T>(
         &mut self,
         key: &'static str,
@@ -263,8 +264,8 @@
         values
     }
 
-    /// Reports that `key` is missing when `value` is `None` and the key is not
-    /// there at all; a key with a bad value was reported already.
+    /// Reports that `key` is missing if `value` is `None` and the table does not have the
+    /// key. A key with a bad value has been reported before.
     pub fn required<T>(&mut self, key: &'static str, value: Option<T>) -> Option<T> {
         if value.is_none() && self.lookup(key).is_none() {
             self.report_at(self.offset, key, "is missing".into());
@@ -272,7 +273,7 @@
         value
     }
 
-    /// Records a finding at `key`, or at the table when the key is not there.
+    /// Records a finding at `key`, or at the table if it does not have the key.
     pub fn report(&self, key: &str, message: impl Into<String>) {
         let offset = self
             .lookup(key)
@@ -335,7 +336,7 @@
 
     fn report_at(&self, offset: usize, key: &str, message: String) {
         self.document
-            .shared
+            .state
             .report(offset, &self.dotted(key), message);
     }
 
--- a/components/settings/src/suggestion.rs
+++ b/components/settings/src/suggestion.rs
@@ -1,19 +1,20 @@
-//! The known word nearest to a mistyped one.
+//! Suggestions for mistyped words.
 
-/// Farthest edit distance at which a known word is suggested.
-const FARTHEST: usize = 3;
+/// Maximum edit distance at which a known word is suggested.
+const MAX_EDIT_DISTANCE: usize = 3;
 
-/// The known word with the smallest edit distance to `word`, if it is near.
+/// The known word with the smallest edit distance to `word`, if it is near enough to
+/// be suggested.
 pub fn nearest<'a>(word: &str, known: &[&'a str]) -> Option<&'a str> {
     known
         .iter()
         .map(|candidate| (edit_distance(word, candidate), *candidate))
-        .filter(|(distance, _)| *distance <= FARTHEST)
+        .filter(|(distance, _)| *distance <= MAX_EDIT_DISTANCE)
         .min()
         .map(|(_, candidate)| candidate)
 }
 
-/// Levenshtein distance in characters, one row at a time.
+/// Levenshtein distance in characters, computed one row at a time.
 fn edit_distance(left: &str, right: &str) -> usize {
     let right: Vec<char> = right.chars().collect();
     let mut row: Vec<usize> = (0..=right.len()).collect();
--- a/components/settings/tests/findings.rs
+++ b/components/settings/tests/findings.rs
@@ -1,4 +1,4 @@
-//! Every mistake of a document is found, with its line and key.
+//! All errors of a document are reported, with their lines and keys.
 
 use garnet_settings::{Document, Findings, TableReader};
 
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn ten_mistakes_are_ten_findings() {
+fn ten_errors_are_ten_findings() {
     let text = findings(TEN_MISTAKES).to_string();
     assert_eq!(text.lines().count(), 10, "{text}");
 }
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn an_unknown_key_comes_with_the_nearest_known_one() {
+fn an_unknown_key_suggests_the_nearest_known_key() {
     let text = findings(TEN_MISTAKES).to_string();
     let unknown = |key: &str| text.lines().find(|line| line.contains(key));
     assert!(
@@ -65,14 +65,14 @@
 }
 
 #[test]
-fn text_that_is_no_document_is_one_finding_with_its_line() {
+fn a_syntax_error_is_one_finding_with_its_line() {
     let text = findings("name = \"a\"\nport = = 3\n").to_string();
     assert_eq!(text.lines().count(), 1, "{text}");
     assert!(text.contains("settings.toml:2"), "{text}");
 }
 
 #[test]
-fn a_sound_document_has_no_findings() {
+fn a_valid_document_has_no_findings() {
     let text = "name = \"a\"\nport = 80\nhosts = [\"one\"]\n[limit]\nmost = 3\n";
     assert_eq!(findings(text).to_string(), "");
 }
