--- a/components/stand-in/src/application.rs
+++ b/components/stand-in/src/application.rs
@@ -1,32 +1,33 @@
-//! An application service: it runs whatever reaches it, and keeps a journal.
+//! A stand-in for an application, which runs every call and keeps a journal of the runs.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
-/// What ran at one instance.
+/// Runs at one instance.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Journal {
-    /// Runs by idempotency key.
+    /// Number of runs by idempotency key.
     pub runs: BTreeMap<String, u64>,
-    /// Runs without a key.
+    /// Number of runs without a key.
     pub unkeyed: u64,
 }
 
 /// Answer of an application instance.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ApplicationAnswer {
-    /// The instance.
+    /// Name of the instance.
     pub instance: String,
-    /// Path that was called.
+    /// Path of the call.
     pub path: String,
     /// Number of the run at this instance.
     pub run: u64,
-    /// Body that came, so that the caller can check it.
+    /// Body of the call, so that the caller can check it.
     pub echo: String,
 }
 
-/// One instance. It does not look for repetitions: a second run shows.
+/// One instance of an application. It does not deduplicate calls, so that the journal
+/// shows any second run.
 #[derive(Debug, Clone)]
 pub struct ApplicationStandIn {
     instance: String,
@@ -35,7 +36,7 @@
 }
 
 impl ApplicationStandIn {
-    /// An instance with an empty journal.
+    /// Creates an instance with an empty journal.
     pub fn new(instance: impl Into<String>) -> Self {
         ApplicationStandIn {
             instance: instance.into(),
@@ -44,7 +45,7 @@
         }
     }
 
-    /// Runs a call.
+    /// Runs a call and records it in the journal.
     pub fn run(&mut self, path: &str, key: Option<&str>, body: &str) -> ApplicationAnswer {
         self.runs += 1;
         match key {
@@ -59,7 +60,7 @@
         }
     }
 
-    /// What ran so far.
+    /// Runs so far.
     pub fn journal(&self) -> &Journal {
         &self.journal
     }
--- a/components/stand-in/src/engine/iterations.rs
+++ b/components/stand-in/src/engine/iterations.rs
@@ -1,44 +1,48 @@
-//! Iterations: what is prefilled and generated in each, and how long it lasts.
+//! Iterations: which prompts are prefilled and which sequences are decoded in each, and how
+//! long it takes.
 
 use garnet_types::Millis;
 
 use crate::text;
 
 use super::jobs::{JobId, JobOutput, SubmittedJob};
-use super::{EngineStandIn, KV_KEPT, MICROS};
+use super::{EngineStandIn, KV_LIFETIME, MICROS_PER_MS};
 
 #[derive(Debug, Clone)]
 pub(super) struct Iteration {
+    /// End of the iteration, in microseconds.
     pub(super) ends_at: u64,
-    pub(super) read: Vec<(JobId, u64)>,
+    /// Jobs to prefill, with the number of tokens of each.
+    pub(super) prefill: Vec<(JobId, u64)>,
+    /// Jobs that generate a token.
     pub(super) decode: Vec<JobId>,
 }
 
 impl EngineStandIn {
     pub(super) fn start_iteration(&mut self, at: u64) {
-        let read = self.choose_prompts();
+        let prefill = self.choose_prompts();
         let decode = self.choose_sequences(at);
-        if read.is_empty() && decode.is_empty() {
+        if prefill.is_empty() && decode.is_empty() {
             self.wait_for_import(at);
             return;
         }
-        let tokens: u64 = read.iter().map(|(_, tokens)| *tokens).sum();
+        let tokens: u64 = prefill.iter().map(|(_, tokens)| *tokens).sum();
         let capacity = &self.settings.capacity;
-        let read_ms = tokens as f64 * 1000.0 / capacity.prefill_tokens_per_second;
+        let prefill_ms = tokens as f64 * 1000.0 / capacity.prefill_tokens_per_second;
         let decode_ms = if decode.is_empty() {
             0.0
         } else {
             capacity.decode_step_ms
         };
-        let length = ((read_ms + decode_ms) * MICROS as f64).ceil() as u64;
+        let length = ((prefill_ms + decode_ms) * MICROS_PER_MS as f64).ceil() as u64;
         self.iteration = Some(Iteration {
             ends_at: at + length.max(1) * self.slowness,
-            read,
+            prefill,
             decode,
         });
     }
 
-    /// Nothing to do until an imported KV cache is there.
+    /// Starts an empty iteration that lasts until the next imported KV cache has arrived.
     fn wait_for_import(&mut self, at: u64) {
         let next = self
             .decode
@@ -48,30 +52,31 @@
             .min();
         self.iteration = next.map(|ready_at| Iteration {
             ends_at: ready_at.max(at + 1),
-            read: Vec::new(),
+            prefill: Vec::new(),
             decode: Vec::new(),
         });
     }
 
-    /// One chunk of prompts: urgent jobs first, then by arrival.
+    /// Chooses one chunk of prompt tokens, from the most urgent jobs first, then by arrival.
     fn choose_prompts(&self) -> Vec<(JobId, u64)> {
         let mut queue: Vec<JobId> = self.uncached.iter().copied().collect();
         queue.sort_by_key(|id| self.jobs.get(id).map(|job| job.job.class()));
-        let mut left = self.settings.chunk_tokens;
+        let mut remaining = self.settings.chunk_tokens;
         let mut chunk = Vec::new();
         for id in queue {
             let uncached = self.jobs.get(&id).map_or(0, |job| job.uncached_tokens);
-            let tokens = uncached.min(left);
+            let tokens = uncached.min(remaining);
             if tokens == 0 && uncached > 0 {
                 break;
             }
-            left -= tokens;
+            remaining -= tokens;
             chunk.push((id, tokens));
         }
         chunk
     }
 
-    /// As many sequences as there are slots. Those that have begun keep theirs.
+    /// Chooses as many sequences as there are decode slots. Sequences that have started keep
+    /// their slots.
     fn choose_sequences(&self, at: u64) -> Vec<JobId> {
         let slots = self.settings.capacity.decode_slots as usize;
         self.decode
@@ -83,15 +88,15 @@
     }
 
     pub(super) fn end_iteration(&mut self, iteration: Iteration) {
-        for (id, tokens) in iteration.read {
-            self.read_tokens(id, tokens, iteration.ends_at);
+        for (id, tokens) in iteration.prefill {
+            self.prefill_tokens(id, tokens, iteration.ends_at);
         }
         for id in iteration.decode {
             self.generate_token(id);
         }
     }
 
-    fn read_tokens(&mut self, id: JobId, tokens: u64, at: u64) {
+    fn prefill_tokens(&mut self, id: JobId, tokens: u64, at: u64) {
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
@@ -109,7 +114,8 @@
         }
     }
 
-    /// Behind all jobs of the same or a more urgent class that have no token.
+    /// Inserts a job into the decode queue, before the first less urgent job beyond the decode
+    /// slots.
     fn insert_generating(&mut self, id: JobId) {
         let class = self.jobs.get(&id).map(|job| job.job.class());
         let slots = self.settings.capacity.decode_slots as usize;
@@ -129,8 +135,9 @@
         };
         self.next_handle += 1;
         let handle = self.next_handle;
-        let until = Millis(at / MICROS) + KV_KEPT;
-        self.exported.insert(handle, (job.prompt_tokens, until));
+        let expires_at = Millis(at / MICROS_PER_MS) + KV_LIFETIME;
+        self.exported
+            .insert(handle, (job.prompt_tokens, expires_at));
         self.outputs.push((id, JobOutput::Prefilled { handle }));
     }
 
--- a/components/stand-in/src/engine/jobs.rs
+++ b/components/stand-in/src/engine/jobs.rs
@@ -1,15 +1,15 @@
-//! What an engine is asked to do, and what becomes of it.
+//! Jobs of an engine and their outputs.
 
 use garnet_types::Class;
 
-/// A job inside one engine.
+/// Identifies a job within one engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct JobId(pub u64);
 
-/// A job as it is handed in.
+/// A job as submitted to an engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum SubmittedJob {
-    /// Read a prompt and keep its KV cache for another engine.
+    /// Prefill a prompt and keep its KV cache for another engine.
     Prefill {
         /// Model that must be loaded.
         model: String,
@@ -24,11 +24,11 @@
         model: String,
         /// The prompt.
         prompt: String,
-        /// Tokens of the whole text.
+        /// Number of tokens of the complete text.
         max_tokens: u64,
-        /// First token wanted.
+        /// Index of the first token to generate.
         from_token: u64,
-        /// Whether the KV cache was imported, so that no prompt is prefilled.
+        /// Whether the KV cache was imported, so that the prompt isn't prefilled.
         imported: bool,
         /// Priority.
         class: Class,
@@ -42,14 +42,14 @@
         }
     }
 
-    pub(super) fn needs_prompt_read(&self) -> bool {
+    pub(super) fn needs_prefill(&self) -> bool {
         match self {
             SubmittedJob::Prefill { .. } => true,
             SubmittedJob::Generate { imported, .. } => !imported,
         }
     }
 
-    /// Its priority.
+    /// Priority of the job.
     pub(super) fn class(&self) -> Class {
         match self {
             SubmittedJob::Prefill { class, .. } | SubmittedJob::Generate { class, .. } => *class,
@@ -61,10 +61,10 @@
     }
 }
 
-/// Why a job was not begun.
+/// Why an engine did not start a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum JobRejection {
-    /// The engine takes no new work on purpose.
+    /// The engine is draining or carrying out an order, and accepts no new work.
     Draining,
     /// Another model is loaded.
     WrongModel,
@@ -72,24 +72,24 @@
     WrongRole,
 }
 
-/// What became of a job.
+/// Output of a job.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum JobOutput {
-    /// The prompt is prefilled; its KV cache can be fetched under this name.
+    /// The prompt is prefilled, and its KV cache can be fetched.
     Prefilled {
-        /// Name of the KV cache.
+        /// Handle of the KV cache.
         handle: u64,
     },
     /// One token.
     Token {
-        /// Its number.
+        /// Index of the token in the text.
         index: u64,
-        /// Its text.
+        /// Text of the token.
         text: String,
     },
-    /// The explicit end.
+    /// The text is complete.
     Finished {
-        /// Tokens of the whole text.
+        /// Number of tokens of the complete text.
         total: u64,
     },
 }
--- a/components/stand-in/src/engine/mod.rs
+++ b/components/stand-in/src/engine/mod.rs
@@ -1,9 +1,9 @@
-//! An engine: continuous batching in iterations.
+//! A stand-in for an engine: continuous batching in iterations.
 //!
 //! An iteration generates one token for each active sequence and prefills at most
-//! one chunk of prompts. Its length is the sum of both, so on an engine that
-//! does both, long prompts stretch the time between tokens: that is what the
-//! roles are for. Source: docs/engine-interface.md.
+//! one chunk of prompts. Its duration is the sum of both, so on an engine that
+//! does both, long prompts increase the time between tokens. Engine roles exist to
+//! avoid this. Specified in docs/engine-interface.md.
 
 mod iterations;
 mod jobs;
@@ -20,27 +20,27 @@
 use iterations::Iteration;
 pub use jobs::{JobId, JobOutput, JobRejection, SubmittedJob};
 
-/// Microseconds in a millisecond: iterations are shorter than a millisecond.
-const MICROS: u64 = 1000;
-/// How long an exported KV cache is kept for its prefill engine.
-const KV_KEPT: Millis = Millis::from_secs(30);
+/// Iterations are timed in microseconds, as they can be shorter than a millisecond.
+const MICROS_PER_MS: u64 = 1000;
+/// How long an exported KV cache is kept for the engine that is to import it.
+const KV_LIFETIME: Millis = Millis::from_secs(30);
 
 /// Settings of one engine.
 #[derive(Debug, Clone)]
 pub struct EngineSettings {
-    /// What it is set up for when it starts.
+    /// Role and model at the start.
     pub assignment: EngineAssignment,
-    /// Its speed.
+    /// Speed of the engine.
     pub capacity: EngineCapacity,
-    /// Most prompt tokens of one iteration.
+    /// Maximum number of prompt tokens per iteration.
     pub chunk_tokens: u64,
-    /// Blocks of its prefix cache.
+    /// Capacity of the prefix cache, in blocks.
     pub cache_blocks: usize,
-    /// Time out of service for a change of role.
+    /// How long a change of role takes the engine out of service.
     pub role_change: Millis,
-    /// Time on top for a change of model.
+    /// Additional time for a change of model.
     pub model_load: Millis,
-    /// How old the figures of a load report are.
+    /// Age of the values in a load report.
     pub report_lag: Millis,
 }
 
@@ -66,7 +66,8 @@
     uncached_tokens: u64,
     prompt_tokens: u64,
     next_token: u64,
-    /// Imported KV cache arrives at this moment, in microseconds.
+    /// When the job can be decoded, in microseconds: its imported KV cache has arrived or its
+    /// prefill has ended.
     ready_at: u64,
 }
 
@@ -86,15 +87,16 @@
     highest_fence: Fence,
     changing: Option<(EngineOrder, Millis)>,
     draining: bool,
-    /// Factor on the length of iterations: a fault on command.
+    /// Factor by which iterations take longer; an injected fault.
     slowness: u64,
     jobs: BTreeMap<JobId, ActiveJob>,
-    /// Jobs with uncached prompts, in order of arrival.
+    /// Jobs whose prompts are to be prefilled, in order of arrival.
     uncached: VecDeque<JobId>,
-    /// Jobs that generate or wait for a slot, in order of readiness.
+    /// Jobs that decode or wait for a decode slot, in order of service.
     decode: VecDeque<JobId>,
     iteration: Option<Iteration>,
     cache: PrefixCache,
+    /// Exported KV caches by handle, with their tokens and times of expiry.
     exported: BTreeMap<u64, (u64, Millis)>,
     next_job: u64,
     next_handle: u64,
@@ -103,7 +105,7 @@
 }
 
 impl EngineStandIn {
-    /// Starts an engine that once accepted `highest_fence`.
+    /// Starts an engine whose highest accepted fence is `highest_fence`.
     pub fn new(settings: EngineSettings, incarnation: u64, highest_fence: Fence) -> Self {
         EngineStandIn {
             assignment: settings.assignment.clone(),
@@ -126,7 +128,7 @@
         }
     }
 
-    /// State of the engine now.
+    /// Current state of the engine.
     pub fn status(&self) -> EngineStatus {
         EngineStatus {
             incarnation: self.incarnation,
@@ -138,15 +140,15 @@
         }
     }
 
-    /// Load as reports tell it: `report_lag` old. Cache events follow from
-    /// number `events_from` on.
+    /// The load report, whose load values are `report_lag` old. It includes the cache events
+    /// from sequence number `events_from` on.
     pub fn load_report(&self, events_from: u64, now: Millis) -> LoadReport {
-        let described = now.since(self.settings.report_lag);
+        let sampled_at = now.since(self.settings.report_lag);
         let sample = self
             .samples
             .iter()
             .rev()
-            .find(|sample| sample.at <= described);
+            .find(|sample| sample.at <= sampled_at);
         LoadReport {
             incarnation: self.incarnation,
             role: self.assignment.role,
@@ -159,30 +161,30 @@
         }
     }
 
-    /// A planned stop: finish what runs, refuse what comes.
+    /// Begins a planned stop: running jobs finish, new ones are rejected.
     pub fn drain(&mut self) {
         self.draining = true;
     }
 
-    /// Whether a planned stop is under way.
+    /// Whether the engine is draining for a planned stop.
     pub fn is_draining(&self) -> bool {
         self.draining
     }
 
-    /// Jobs that it works on.
+    /// Number of running jobs.
     pub fn running(&self) -> usize {
         self.jobs.len()
     }
 
-    /// Makes every iteration `factor` times as long.
+    /// Makes every iteration take `factor` times as long.
     pub fn set_slowness(&mut self, factor: u64) {
         self.slowness = factor.max(1);
     }
 
-    /// Takes a job.
+    /// Submits a job.
     ///
     /// # Errors
-    /// When the engine provably does not begin it.
+    /// If the engine rejects the job. It has then provably not started.
     pub fn submit(&mut self, job: SubmittedJob, now: Millis) -> Result<JobId, JobRejection> {
         self.check(&job)?;
         self.next_job += 1;
@@ -193,18 +195,18 @@
         } else if active.job.generates() {
             self.decode.push_back(id);
         } else {
-            // Every block was cached: the prompt counts as read at once.
+            // The whole prompt is cached: the next iteration exports it without prefilling.
             self.uncached.push_back(id);
         }
         self.jobs.insert(id, active);
         self.sample(now);
         if self.iteration.is_none() {
-            self.start_iteration(now.0 * MICROS);
+            self.start_iteration(now.0 * MICROS_PER_MS);
         }
         Ok(id)
     }
 
-    /// Breaks a job off.
+    /// Cancels a job.
     pub fn cancel(&mut self, id: JobId, now: Millis) {
         self.jobs.remove(&id);
         self.uncached.retain(|queued| *queued != id);
@@ -212,20 +214,20 @@
         self.sample(now);
     }
 
-    /// Hands over an exported KV cache: its tokens, or `None` when unknown.
+    /// Number of tokens of an exported KV cache, or `None` if the handle is unknown.
     pub fn export(&mut self, handle: u64) -> Option<u64> {
         self.exported.get(&handle).map(|(tokens, _)| *tokens)
     }
 
-    /// Takes an order. A fence that is to be kept must be durable before the
-    /// answer goes out: compare [`EngineStatus::highest_fence`].
+    /// Processes an order. The caller must make a new [`EngineStatus::highest_fence`] durable
+    /// before it sends the answer.
     pub fn order(&mut self, order: &EngineOrder, now: Millis) -> OrderAnswer {
         self.advance(now);
         if order.fence < self.highest_fence {
             return OrderAnswer::StaleFence(self.status());
         }
         if let Some((current, _)) = &mut self.changing {
-            // Invariant: never two orders that want different things.
+            // Invariant: no two orders with different assignments are carried out at once.
             if current.assignment != order.assignment {
                 return OrderAnswer::Busy(self.status());
             }
@@ -251,17 +253,17 @@
         OrderAnswer::Accepted(self.status())
     }
 
-    /// When something happens next by itself.
+    /// When the state changes next without a call.
     pub fn next_due(&self) -> Option<Millis> {
         let iteration = self
             .iteration
             .as_ref()
-            .map(|iteration| Millis(iteration.ends_at.div_ceil(MICROS)));
+            .map(|iteration| Millis(iteration.ends_at.div_ceil(MICROS_PER_MS)));
         let change = self.changing.as_ref().map(|(_, done)| *done);
         iteration.into_iter().chain(change).min()
     }
 
-    /// Lets time pass up to `now`.
+    /// Advances the state to `now`.
     pub fn advance(&mut self, now: Millis) {
         if let Some((order, done)) = &self.changing
             && *done <= now
@@ -272,7 +274,7 @@
             self.exported.clear();
         }
         while let Some(iteration) = self.iteration.take() {
-            if iteration.ends_at > now.0 * MICROS {
+            if iteration.ends_at > now.0 * MICROS_PER_MS {
                 self.iteration = Some(iteration);
                 break;
             }
@@ -280,11 +282,11 @@
             self.end_iteration(iteration);
             self.start_iteration(ended_at);
         }
-        self.exported.retain(|_, (_, until)| *until > now);
+        self.exported.retain(|_, (_, expires_at)| *expires_at > now);
         self.sample(now);
     }
 
-    /// Takes what became of jobs, in order.
+    /// Takes the outputs of jobs, in order.
     pub fn take_outputs(&mut self) -> Vec<(JobId, JobOutput)> {
         std::mem::take(&mut self.outputs)
     }
@@ -301,9 +303,9 @@
             return Err(JobRejection::WrongModel);
         }
         let role = self.assignment.role;
-        let reads = !job.needs_prompt_read() || role.prefills();
-        let generates = !job.generates() || role.generates();
-        if reads && generates {
+        let can_prefill = !job.needs_prefill() || role.prefills();
+        let can_generate = !job.generates() || role.generates();
+        if can_prefill && can_generate {
             Ok(())
         } else {
             Err(JobRejection::WrongRole)
@@ -319,7 +321,7 @@
         };
         let prompt_tokens = prompt.split_whitespace().count() as u64 + next_token;
         let blocks = block_hashes(prompt);
-        let imported = !job.needs_prompt_read();
+        let imported = !job.needs_prefill();
         let uncached_tokens = if imported {
             0
         } else {
@@ -336,7 +338,7 @@
             uncached_tokens,
             prompt_tokens,
             next_token,
-            ready_at: now.0 * MICROS + (transfer_ms * MICROS as f64) as u64,
+            ready_at: now.0 * MICROS_PER_MS + (transfer_ms * MICROS_PER_MS as f64) as u64,
         }
     }
 
--- a/components/stand-in/src/lib.rs
+++ b/components/stand-in/src/lib.rs
@@ -1,8 +1,8 @@
-//! Stand-ins for what stands outside: engines, applications, the platform.
+//! Stand-ins for the external systems: engines, applications and the platform.
 //!
 //! Contract: each is a state machine without I/O. The engine follows
-//! docs/engine-interface.md; its text is a function of the prompt
-//! ([`text::expected_text`]), so that a caller can check a whole answer.
+//! docs/engine-interface.md. Its text is a function of the prompt
+//! ([`text::expected_text`]), so that a caller can check a complete answer.
 
 pub mod application;
 pub mod engine;
--- a/components/stand-in/src/platform.rs
+++ b/components/stand-in/src/platform.rs
@@ -1,29 +1,29 @@
-//! The platform: a list of machines that lags, and a rate-limited weight store.
+//! A stand-in for the platform: a list of machines that lags, and a rate-limited weight store.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use garnet_control::{BackendRegistration, MachineEntry};
 use garnet_types::{BackendId, MachineState, Millis};
 
-/// The list of machines. What is told is as old as the lag.
+/// The list of machines. Readers get the list as it was one lag ago.
 #[derive(Debug, Clone)]
 pub struct PlatformStandIn {
     lag: Millis,
-    present: BTreeMap<BackendId, MachineEntry>,
+    current: BTreeMap<BackendId, MachineEntry>,
     history: VecDeque<(Millis, Vec<MachineEntry>)>,
 }
 
 impl PlatformStandIn {
-    /// An empty list that lags by `lag`.
+    /// Creates an empty list that lags by `lag`.
     pub fn new(lag: Millis) -> Self {
         PlatformStandIn {
             lag,
-            present: BTreeMap::new(),
+            current: BTreeMap::new(),
             history: VecDeque::new(),
         }
     }
 
-    /// Adds a machine, or notes its new address.
+    /// Adds a machine, or replaces its entry.
     pub fn register(&mut self, registration: BackendRegistration, now: Millis) {
         let entry = MachineEntry {
             is_preemptible: false,
@@ -31,36 +31,36 @@
             state: MachineState::Live,
             observed: None,
         };
-        self.present.insert(entry.registration.id.clone(), entry);
-        self.note(now);
+        self.current.insert(entry.registration.id.clone(), entry);
+        self.record(now);
     }
 
-    /// Changes a machine's state. `false` when it is unknown.
+    /// Changes a machine's state. Returns `false` if the machine is unknown.
     pub fn set_state(&mut self, id: &BackendId, state: MachineState, now: Millis) -> bool {
-        let known = self.present.get_mut(id).map(|entry| entry.state = state);
-        self.note(now);
+        let known = self.current.get_mut(id).map(|entry| entry.state = state);
+        self.record(now);
         known.is_some()
     }
 
-    /// Takes a machine off the list.
+    /// Removes a machine from the list.
     pub fn remove(&mut self, id: &BackendId, now: Millis) {
-        self.present.remove(id);
-        self.note(now);
+        self.current.remove(id);
+        self.record(now);
     }
 
-    /// The list as it is told at `now`.
+    /// The list that readers get at `now`.
     pub fn machines(&self, now: Millis) -> Vec<MachineEntry> {
-        let described = now.since(self.lag);
+        let listed_at = now.since(self.lag);
         self.history
             .iter()
             .rev()
-            .find(|(at, _)| *at <= described)
+            .find(|(at, _)| *at <= listed_at)
             .map(|(_, list)| list.clone())
             .unwrap_or_default()
     }
 
-    fn note(&mut self, now: Millis) {
-        let list = self.present.values().cloned().collect();
+    fn record(&mut self, now: Millis) {
+        let list = self.current.values().cloned().collect();
         self.history.push_back((now, list));
         let oldest_needed = now.since(self.lag);
         while self.history.len() > 1 && self.history[1].0 <= oldest_needed {
@@ -69,15 +69,16 @@
     }
 }
 
-/// A store of weights that gives out so many models in a minute.
+/// A store of model weights that allows one load per interval.
 #[derive(Debug, Clone)]
 pub struct WeightStore {
     interval: Millis,
+    /// When the next load is allowed.
     free_at: Millis,
 }
 
 impl WeightStore {
-    /// One model every `interval`.
+    /// Creates a store that allows one load every `interval`.
     pub fn new(interval: Millis) -> Self {
         WeightStore {
             interval,
@@ -85,10 +86,10 @@
         }
     }
 
-    /// Takes a turn.
+    /// Starts a load.
     ///
     /// # Errors
-    /// The time until the next turn.
+    /// The time until the next load is allowed.
     pub fn take(&mut self, now: Millis) -> Result<(), Millis> {
         if now < self.free_at {
             return Err(self.free_at.since(now));
--- a/components/stand-in/src/prefix_cache.rs
+++ b/components/stand-in/src/prefix_cache.rs
@@ -1,26 +1,29 @@
-//! An engine's prefix cache of limited memory, with its events.
+//! An engine's prefix cache of limited size, with its cache events.
 
 use std::collections::{HashMap, VecDeque};
 
 use garnet_routing::CacheEvent;
 use garnet_routing::prefix_index::BLOCK_TOKENS;
 
-/// Events kept for readers; one who comes later finds a gap.
-const KEPT_EVENTS: usize = 4096;
+/// Maximum number of events kept. A reader that asks for older ones finds a gap.
+const MAX_EVENTS: usize = 4096;
 
-/// Blocks held, the least recently used dropped first.
+/// A cache of prompt blocks with least-recently-used eviction.
 #[derive(Debug, Clone)]
 pub struct PrefixCache {
     capacity: usize,
+    /// Time of the last use of each cached block.
     blocks: HashMap<u64, u64>,
+    /// Blocks with the times of their uses, oldest first.
     uses: VecDeque<(u64, u64)>,
+    /// Logical time, which increases with each use.
     clock: u64,
     events: VecDeque<CacheEvent>,
     next_sequence: u64,
 }
 
 impl PrefixCache {
-    /// An empty cache of `capacity` blocks.
+    /// Creates an empty cache of `capacity` blocks.
     pub fn new(capacity: usize) -> Self {
         PrefixCache {
             capacity,
@@ -32,16 +35,16 @@
         }
     }
 
-    /// Tokens of the prompt's prefix that are held.
+    /// Number of cached tokens of a prompt's prefix, given the prompt's blocks.
     pub fn cached_tokens(&self, blocks: &[u64]) -> u64 {
-        let held = blocks
+        let cached = blocks
             .iter()
             .take_while(|block| self.blocks.contains_key(block))
             .count();
-        (held * BLOCK_TOKENS) as u64
+        (cached * BLOCK_TOKENS) as u64
     }
 
-    /// Notes that the prompt's blocks are held and were just used.
+    /// Stores a prompt's blocks, or marks them as just used.
     pub fn store(&mut self, blocks: &[u64]) {
         for block in blocks {
             self.clock += 1;
@@ -53,7 +56,7 @@
         self.evict();
     }
 
-    /// Drops everything, as a role or model change does.
+    /// Evicts all blocks, as on a change of role or model.
     pub fn clear(&mut self) {
         let blocks: Vec<u64> = self.blocks.drain().map(|(block, _)| block).collect();
         self.uses.clear();
@@ -62,7 +65,7 @@
         }
     }
 
-    /// Events from `sequence` on that are still kept.
+    /// Kept events with sequence numbers from `sequence` on.
     pub fn events_from(&self, sequence: u64) -> Vec<CacheEvent> {
         self.events
             .iter()
@@ -76,7 +79,7 @@
             let Some((block, used_at)) = self.uses.pop_front() else {
                 return;
             };
-            // A later use of the same block stands farther back.
+            // If the times differ, a later use of the block is further back in the queue.
             if self.blocks.get(&block) == Some(&used_at) {
                 self.blocks.remove(&block);
                 self.publish(block, false);
@@ -96,7 +99,7 @@
             stored,
         });
         self.next_sequence += 1;
-        if self.events.len() > KEPT_EVENTS {
+        if self.events.len() > MAX_EVENTS {
             self.events.pop_front();
         }
     }
--- a/components/stand-in/src/text.rs
+++ b/components/stand-in/src/text.rs
@@ -1,4 +1,4 @@
-//! Text as a function of the prompt.
+//! Generated text as a function of the prompt.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
@@ -7,14 +7,14 @@
     "jacket", "kettle", "lantern", "meadow", "notary", "orchard", "pharmacy",
 ];
 
-/// Token number `index` of the answer to `prompt`.
+/// The token at `index` in the answer to `prompt`.
 pub fn token(prompt: &str, index: u64) -> String {
     let hash = xxh3_64_with_seed(prompt.as_bytes(), index);
     let word = WORDS[(hash % WORDS.len() as u64) as usize];
     format!(" {word}{}", hash / 16 % 100)
 }
 
-/// The whole answer of `tokens` tokens.
+/// The complete answer to `prompt`, of `tokens` tokens.
 pub fn expected_text(prompt: &str, tokens: u64) -> String {
     (0..tokens).map(|index| token(prompt, index)).collect()
 }
--- a/components/test-support/src/lib.rs
+++ b/components/test-support/src/lib.rs
@@ -1,4 +1,4 @@
-//! What the process tests of several packages share.
+//! Helpers shared by the process tests of several packages.
 
 mod address;
 
--- a/components/test-support/tests/address.rs
+++ b/components/test-support/tests/address.rs
@@ -1,11 +1,11 @@
-//! Reserved addresses.
+//! Reservation of loopback addresses and their ports.
 
 use std::net::TcpListener;
 
 use garnet_test_support::ReservedAddress;
 
-/// The lowest port that Linux draws for sockets bound to port 0.
-const FIRST_DRAWN_PORT: u16 = 32_768;
+/// Start of the ephemeral port range on Linux.
+const FIRST_EPHEMERAL_PORT: u16 = 32_768;
 
 #[test]
 fn a_reserved_address_is_not_reserved_twice() {
@@ -16,16 +16,16 @@
 }
 
 #[test]
-fn ports_differ_and_are_none_that_the_system_draws() {
+fn ports_differ_and_are_not_ephemeral() {
     let mut address = ReservedAddress::reserve();
     let first = address.socket();
     let second = address.socket();
     assert_ne!(first, second);
-    assert!(first.port() < FIRST_DRAWN_PORT && second.port() < FIRST_DRAWN_PORT);
+    assert!(first.port() < FIRST_EPHEMERAL_PORT && second.port() < FIRST_EPHEMERAL_PORT);
 }
 
 #[test]
-fn nothing_was_bound_ahead_at_the_ports() {
+fn ports_are_not_bound_in_advance() {
     let mut address = ReservedAddress::reserve();
     let socket = address.socket();
     let held = TcpListener::bind(socket).expect("free");
--- a/components/types/src/decimal.rs
+++ b/components/types/src/decimal.rs
@@ -17,7 +17,7 @@
     pub fn parse(text: &str, fraction_digits: usize) -> Option<Self> {
         let text = text.trim_matches([' ', '\t']);
         let (whole, fraction) = text.split_once('.').unwrap_or((text, ""));
-        let are_digits = |text: &str| text.bytes().all(|byte| byte.is_ascii_digit());
+        let are_digits = |digits: &str| digits.bytes().all(|byte| byte.is_ascii_digit());
         let has_digits = !whole.is_empty() || !fraction.is_empty();
         if !has_digits || !are_digits(whole) || !are_digits(fraction) {
             return None;
