--- a/components/forwarding-shell/src/failover.rs
+++ b/components/forwarding-shell/src/failover.rs
@@ -91,7 +91,7 @@
     if forwarder.has_no_suspects() {
         return QuarantineStatus::Clear;
     }
-    forwarder.standing(call.fingerprint())
+    forwarder.quarantine_status(call.fingerprint())
 }
 
 /// Whether the request may be sent to no engine, since engines crashed while running it.
--- a/components/forwarding-shell/src/stream/prefill.rs
+++ b/components/forwarding-shell/src/stream/prefill.rs
@@ -131,7 +131,7 @@
         // The request may have been quarantined, or may have timed out, during the
         // prefill.
         if !may_be_sent(&self.gateway, &self.running) {
-            return Err(AttemptEnd::NotRun(NotRunReason::Refused));
+            return Err(AttemptEnd::NotRun(NotRunReason::Rejected));
         }
         // A back end may have reported a limit during the prefill.
         let place = || self.place_decode(cache.prefill_engine());
