--- a/bin/garnet-bench/src/fleet.rs
+++ b/bin/garnet-bench/src/fleet.rs
@@ -5,8 +5,8 @@
 use std::time::Instant;
 
 use garnet_control::{
-    BackendRecord, BackendRegistration, BackendState, Configuration, ConfigurationChange,
-    EngineObservation, GatewayDigest, LoadDigest, MembersHash, PriorityCounts, PromptCopy,
+    BackendListHash, BackendRecord, BackendRegistration, BackendState, Configuration,
+    ConfigurationChange, EngineObservation, GatewayDigest, LoadDigest, PriorityCounts, PromptCopy,
     UNTOLD_START, WatchUpdate,
 };
 use garnet_forwarding::{
@@ -231,7 +231,7 @@
 }
 
 fn digest(gateway: &Forwarder, busy: usize) -> GatewayDigest {
-    let members = MembersHash::of(gateway.backend_ids());
+    let members = BackendListHash::of(gateway.backend_ids());
     let known = gateway.known_backends();
     let one_of = (known / busy.max(1)).max(1);
     let state = |place: usize| match place % one_of {
--- a/bin/garnet-control/src/engines.rs
+++ b/bin/garnet-control/src/engines.rs
@@ -48,7 +48,7 @@
                 );
                 let request = client::json_request("POST", paths::ORDERS, &order);
                 let answer: OrderAnswer = fetch(&self.http, &address, request).await?;
-                Some(Event::EngineOrder { engine, answer })
+                Some(Event::OrderAnswered { engine, answer })
             }
         }
     }
--- a/components/control/src/copies.rs
+++ b/components/control/src/copies.rs
@@ -10,7 +10,7 @@
 use garnet_types::{BackendId, GatewayId, Millis, PrefixId};
 
 use crate::configuration::Configuration;
-use crate::load_digest::MembersHash;
+use crate::load_digest::BackendListHash;
 use crate::messages::{CopyUpdates, PositionedCopy, PromptCopy};
 
 /// Maximum number of reports that are kept for gateways that have not been sent them.
@@ -49,7 +49,7 @@
 #[derive(Debug, Default)]
 struct Positions {
     index: u64,
-    members: MembersHash,
+    members: BackendListHash,
     by_id: BTreeMap<BackendId, u16>,
 }
 
@@ -59,7 +59,7 @@
         let by_id = ids.cloned().zip(0..).collect();
         Positions {
             index: configuration.index,
-            members: MembersHash::of(configuration.backends.keys()),
+            members: BackendListHash::of(configuration.backends.keys()),
             by_id,
         }
     }
--- a/components/control/src/effects.rs
+++ b/components/control/src/effects.rs
@@ -69,7 +69,7 @@
         status: EngineStatus,
     },
     /// An engine answered an order.
-    EngineOrder {
+    OrderAnswered {
         /// The engine.
         engine: BackendId,
         /// Its answer.
--- a/components/control/src/fleet_load.rs
+++ b/components/control/src/fleet_load.rs
@@ -11,7 +11,7 @@
 
 use crate::configuration::Configuration;
 use crate::fleet_health::FleetHealth;
-use crate::load_digest::{BackendState, GatewayDigest, LoadDigest, MembersHash};
+use crate::load_digest::{BackendListHash, BackendState, GatewayDigest, LoadDigest};
 use crate::messages::{Backlog, Evidence};
 use crate::priority_counts::PriorityCounts;
 
@@ -52,7 +52,7 @@
     /// Number of the digest that each gateway was sent last.
     sent: BTreeMap<GatewayId, u64>,
     /// Hash of the back ends of the configuration at this index.
-    members: (u64, MembersHash),
+    members: (u64, BackendListHash),
 }
 
 impl FleetLoad {
@@ -82,7 +82,7 @@
         now: Millis,
     ) -> Option<GatewayDigest> {
         if self.members.0 != configuration.index {
-            let members = MembersHash::of(configuration.backends.keys());
+            let members = BackendListHash::of(configuration.backends.keys());
             self.members = (configuration.index, members);
         }
         let members = self.members.1;
@@ -102,7 +102,7 @@
         })
     }
 
-    fn make(&mut self, members: MembersHash, configuration: &Configuration, now: Millis) {
+    fn make(&mut self, members: BackendListHash, configuration: &Configuration, now: Millis) {
         self.reports
             .retain(|_, report| now.since(report.received_at) <= REPORT_LIFETIME);
         let reports = &self.reports;
--- a/components/control/src/lib.rs
+++ b/components/control/src/lib.rs
@@ -53,7 +53,7 @@
 pub use encoding::{DecodedEntry, EntryError, LogEncoding, NotInVersion, encode_entry, v11};
 pub use gateways::{CONFIGURATION_LEASE, GatewayLeases};
 pub use group_step::{GroupSettings, GroupStep, MemberStatus, next_step};
-pub use load_digest::{BackendState, GatewayDigest, LoadDigest, MembersHash, PositionedState};
+pub use load_digest::{BackendListHash, BackendState, GatewayDigest, LoadDigest, PositionedState};
 pub use messages::{
     Backlog, ClaimRequest, ControlReply, CopyUpdates, Evidence, GatewayRequest, GroupView,
     JoinRequest, LimitUpdate, PoolMix, PositionedCopy, PromptCopy, WatchUpdate,
--- a/components/control/src/load_digest.rs
+++ b/components/control/src/load_digest.rs
@@ -36,9 +36,9 @@
 
 /// Identifies an ordered list of back ends.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct MembersHash(u64);
+pub struct BackendListHash(u64);
 
-impl MembersHash {
+impl BackendListHash {
     /// Hashes the ids of the back ends in order.
     pub fn of<'a>(ids: impl Iterator<Item = &'a BackendId>) -> Self {
         let mut hash = Xxh3::new();
@@ -46,21 +46,21 @@
             hash.update(id.as_str().as_bytes());
             hash.update(&[0]);
         }
-        MembersHash(hash.digest())
+        BackendListHash(hash.digest())
     }
 }
 
-impl fmt::Display for MembersHash {
+impl fmt::Display for BackendListHash {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(formatter, "{:016x}", self.0)
     }
 }
 
-impl FromStr for MembersHash {
+impl FromStr for BackendListHash {
     type Err = ParseIntError;
 
     fn from_str(text: &str) -> Result<Self, ParseIntError> {
-        u64::from_str_radix(text, 16).map(MembersHash)
+        u64::from_str_radix(text, 16).map(BackendListHash)
     }
 }
 
@@ -137,7 +137,7 @@
 /// An encoded digest.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadDigest {
-    members: MembersHash,
+    members: BackendListHash,
     entries: Arc<ByteBuf>,
     /// Number of idle back ends after the last entry. It is not sent: only the process
     /// that made the digest knows it.
@@ -147,7 +147,10 @@
 
 impl LoadDigest {
     /// Encodes the states of all back ends, in their order.
-    pub fn encode(members: MembersHash, states: impl IntoIterator<Item = BackendState>) -> Self {
+    pub fn encode(
+        members: BackendListHash,
+        states: impl IntoIterator<Item = BackendState>,
+    ) -> Self {
         let mut skipped = 0;
         let mut entries = Vec::new();
         for state in states {
@@ -173,13 +176,13 @@
     }
 
     /// Returns whether the digest was made for this list of back ends.
-    pub(crate) fn is_of(&self, members: MembersHash) -> bool {
+    pub(crate) fn is_of(&self, members: BackendListHash) -> bool {
         self.members == members
     }
 
     /// The back ends that have work or are failing, in order; `None` if the digest was
     /// made for another list of back ends or can't be decoded.
-    pub fn states(&self, members: MembersHash) -> Option<Vec<PositionedState>> {
+    pub fn states(&self, members: BackendListHash) -> Option<Vec<PositionedState>> {
         if !self.is_of(members) {
             return None;
         }
--- a/components/control/src/load_digest/v11.rs
+++ b/components/control/src/load_digest/v11.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 use serde_bytes::ByteBuf;
 
-use super::{BackendState, Entry, GatewayDigest, LoadDigest, MembersHash};
+use super::{BackendListHash, BackendState, Entry, GatewayDigest, LoadDigest};
 use crate::encoding::{decoded, encoded};
 
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
@@ -42,7 +42,7 @@
 /// A digest as sent to one gateway.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub(crate) struct V11Digest {
-    members: MembersHash,
+    members: BackendListHash,
     entries: ByteBuf,
     counted: Option<Millis>,
 }
--- a/components/control/src/messages.rs
+++ b/components/control/src/messages.rs
@@ -11,7 +11,7 @@
 use crate::command::ClaimCommand;
 use crate::configuration::{Configuration, ConfigurationChange};
 use crate::configuration_transfer::{ConfigurationPart, PartRequest};
-use crate::load_digest::{GatewayDigest, MembersHash};
+use crate::load_digest::{BackendListHash, GatewayDigest};
 use crate::priority_counts::PriorityCounts;
 use crate::shared::Shared;
 use crate::usage::{UsageReceipt, UsageReport};
@@ -81,7 +81,7 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CopyUpdates {
     /// Identifies the list of back ends that the positions refer to.
-    pub members: MembersHash,
+    pub members: BackendListHash,
     /// The copies, oldest first.
     pub copies: Vec<PositionedCopy>,
 }
--- a/components/control/src/replica/mod.rs
+++ b/components/control/src/replica/mod.rs
@@ -333,7 +333,7 @@
             Event::EngineStatus { engine, status } => {
                 self.reconciler.observe(&engine, status, self.now);
             }
-            Event::EngineOrder { engine, answer } => self.handle_order_answer(engine, answer),
+            Event::OrderAnswered { engine, answer } => self.handle_order_answer(engine, answer),
             Event::Machines(machines) => self.handle_machines(&machines),
             Event::Join(request) => self.handle_join(request),
             Event::DutyAnswered { call, answer } => self.handle_duty_answer(&call, answer),
--- a/components/control/tests/state/copies.rs
+++ b/components/control/tests/state/copies.rs
@@ -1,8 +1,8 @@
 //! Copies of prompt prefixes, which the leader passes on to gateways.
 
 use garnet_control::{
-    BackendRegistration, Command, ControlReply, CopyUpdates, Event, GatewayRequest, MembersHash,
-    PromptCopy, UNTOLD_START,
+    BackendListHash, BackendRegistration, Command, ControlReply, CopyUpdates, Event,
+    GatewayRequest, PromptCopy, UNTOLD_START,
 };
 use garnet_types::{BackendId, BackendKind, GatewayId, Millis, PrefixId, ServiceId};
 
@@ -46,7 +46,7 @@
 
 /// The copies of an update, with the names of the engines.
 fn named(updates: &CopyUpdates) -> Vec<PromptCopy> {
-    assert_eq!(updates.members, MembersHash::of(ids().iter()));
+    assert_eq!(updates.members, BackendListHash::of(ids().iter()));
     let copy = |copy: &garnet_control::PositionedCopy| PromptCopy {
         prefix: copy.prefix,
         backend: ids()[usize::from(copy.place)].clone(),
--- a/components/control/tests/state/load_digest.rs
+++ b/components/control/tests/state/load_digest.rs
@@ -1,8 +1,8 @@
 //! The digest of load and health that the leader sends to all gateways.
 
 use garnet_control::{
-    BackendRegistration, BackendState, Backlog, Command, ControlReply, Effect, Event, Evidence,
-    GatewayDigest, GatewayRequest, LoadDigest, MembersHash, PositionedState, PriorityCounts,
+    BackendListHash, BackendRegistration, BackendState, Backlog, Command, ControlReply, Effect,
+    Event, Evidence, GatewayDigest, GatewayRequest, LoadDigest, PositionedState, PriorityCounts,
     UNTOLD_START,
 };
 use garnet_types::{BackendId, BackendKind, GatewayId, Millis, ServiceId};
@@ -93,7 +93,7 @@
 }
 
 fn states(sent_digest: &GatewayDigest) -> Vec<BackendState> {
-    let members = MembersHash::of(ids().iter());
+    let members = BackendListHash::of(ids().iter());
     let positioned = sent_digest
         .digest
         .states(members)
@@ -246,15 +246,15 @@
 fn a_digest_of_other_back_ends_is_ignored() {
     let mut leader = leader();
     let newest = watch(&mut leader, "a", Vec::new(), Vec::new()).expect("a digest");
-    let others = MembersHash::of(ids().iter().skip(1));
+    let others = BackendListHash::of(ids().iter().skip(1));
     assert_eq!(newest.digest.states(others), None);
 }
 
 #[test]
 fn a_members_hash_is_read_back() {
-    let members = MembersHash::of(ids().iter());
+    let members = BackendListHash::of(ids().iter());
     assert_eq!(members.to_string().parse(), Ok(members));
-    assert!("no hash".parse::<MembersHash>().is_err());
+    assert!("no hash".parse::<BackendListHash>().is_err());
 }
 
 /// A digest of `backends` back ends, of which one in `one_of` has work.
@@ -269,7 +269,7 @@
         },
         _ => BackendState::default(),
     };
-    LoadDigest::encode(MembersHash::of(ids.iter()), (0..backends).map(state))
+    LoadDigest::encode(BackendListHash::of(ids.iter()), (0..backends).map(state))
 }
 
 /// Of ten thousand engines a few hundred have work. Regression: a digest with an entry for
@@ -286,7 +286,7 @@
 #[test]
 fn a_digest_gives_the_positions_of_its_back_ends() {
     let ids: Vec<BackendId> = (0..100).map(id).collect();
-    let members = MembersHash::of(ids.iter());
+    let members = BackendListHash::of(ids.iter());
     let busy = digest_of(100, 30)
         .states(members)
         .expect("the same back ends");
--- a/components/forwarding/src/backend_groups.rs
+++ b/components/forwarding/src/backend_groups.rs
@@ -8,7 +8,7 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-use garnet_control::MembersHash;
+use garnet_control::BackendListHash;
 use garnet_types::{BackendId, EngineRole, Millis, ServiceId};
 
 use crate::backends::Backend;
@@ -37,7 +37,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct BackendGroups {
     positions: Vec<BackendId>,
-    members: MembersHash,
+    members: BackendListHash,
     groups: BTreeMap<GroupKey, BackendGroup>,
 }
 
@@ -46,7 +46,7 @@
     /// estimate of a group that still has members is kept.
     pub(crate) fn update_members(&mut self, backends: &mut BTreeMap<BackendId, Backend>) {
         self.positions = backends.keys().cloned().collect();
-        self.members = MembersHash::of(backends.keys());
+        self.members = BackendListHash::of(backends.keys());
         for group in self.groups.values_mut() {
             group.count = 0;
         }
@@ -74,7 +74,7 @@
     }
 
     /// Hash over the ids of all back ends in their order.
-    pub(crate) fn members(&self) -> MembersHash {
+    pub(crate) fn members(&self) -> BackendListHash {
         self.members
     }
 
--- a/components/forwarding/tests/core/fleet.rs
+++ b/components/forwarding/tests/core/fleet.rs
@@ -3,8 +3,8 @@
 use std::sync::Arc;
 
 use garnet_control::{
-    BackendRecord, BackendRegistration, BackendState, Backlog, Configuration, EngineObservation,
-    GatewayDigest, LoadDigest, MembersHash, UNTOLD_START, WatchUpdate,
+    BackendListHash, BackendRecord, BackendRegistration, BackendState, Backlog, Configuration,
+    EngineObservation, GatewayDigest, LoadDigest, UNTOLD_START, WatchUpdate,
 };
 use garnet_forwarding::{
     Forwarder, ForwarderSettings, Prompt, PromptPart, SharedRetryBudget, Work,
@@ -192,7 +192,7 @@
     };
     let states: Vec<BackendState> = ids.iter().map(state).collect();
     let leader_digest = GatewayDigest {
-        digest: LoadDigest::encode(MembersHash::of(ids.iter()), states),
+        digest: LoadDigest::encode(BackendListHash::of(ids.iter()), states),
         counted: None,
     };
     gateway.take_digest(&leader_digest, NOW);
--- a/components/forwarding/tests/core/fleet_view.rs
+++ b/components/forwarding/tests/core/fleet_view.rs
@@ -1,7 +1,7 @@
 //! A gateway's estimates of the fleet, from the leader's digest.
 
 use garnet_control::{
-    BackendRecord, BackendState, GatewayDigest, LoadDigest, MembersHash, PriorityCounts,
+    BackendListHash, BackendRecord, BackendState, GatewayDigest, LoadDigest, PriorityCounts,
 };
 use garnet_forwarding::{Forwarder, Placement};
 use garnet_routes::WorkKind;
@@ -38,7 +38,7 @@
     ids.sort();
     let states: Vec<BackendState> = ids.iter().map(state).collect();
     GatewayDigest {
-        digest: LoadDigest::encode(MembersHash::of(ids.iter()), states),
+        digest: LoadDigest::encode(BackendListHash::of(ids.iter()), states),
         counted,
     }
 }
--- a/components/forwarding/tests/core/split_fleet.rs
+++ b/components/forwarding/tests/core/split_fleet.rs
@@ -7,7 +7,7 @@
 use std::collections::{BTreeMap, HashSet, VecDeque};
 
 use garnet_control::{
-    BackendRecord, BackendState, Backlog, GatewayDigest, LoadDigest, MembersHash, PromptCopy,
+    BackendListHash, BackendRecord, BackendState, Backlog, GatewayDigest, LoadDigest, PromptCopy,
 };
 use garnet_forwarding::{Forwarder, Placement, Prompt};
 use garnet_routes::WorkKind;
@@ -91,7 +91,7 @@
         let decode = BackendId::new("q-decode");
         let ids = self.ids.iter().chain([&decode]);
         let digest = GatewayDigest {
-            digest: LoadDigest::encode(MembersHash::of(ids), states),
+            digest: LoadDigest::encode(BackendListHash::of(ids), states),
             counted: Some(now),
         };
         let gateway = &mut self.gateways[number];
--- a/components/simulator/src/world/control.rs
+++ b/components/simulator/src/world/control.rs
@@ -44,7 +44,7 @@
                 engine: engine_id(engine),
                 status,
             },
-            (Message::OrderAnswer(answer), Host::Engine(engine)) => ControlEvent::EngineOrder {
+            (Message::OrderAnswer(answer), Host::Engine(engine)) => ControlEvent::OrderAnswered {
                 engine: engine_id(engine),
                 answer,
             },
--- a/components/wire/tests/upgrade/samples/frames.rs
+++ b/components/wire/tests/upgrade/samples/frames.rs
@@ -111,7 +111,7 @@
         },
     ];
     GatewayDigest {
-        digest: LoadDigest::encode(MembersHash::of(ids.iter()), states),
+        digest: LoadDigest::encode(BackendListHash::of(ids.iter()), states),
         counted: Some(Millis(990)),
     }
 }
@@ -130,7 +130,7 @@
         gateways: 7,
         digest: Some(digest()),
         copies: CopyUpdates {
-            members: MembersHash::of([BackendId::new("engine-1")].iter()),
+            members: BackendListHash::of([BackendId::new("engine-1")].iter()),
             copies: vec![PositionedCopy {
                 prefix: PrefixId(0xabc),
                 place: 1,
