--- a/components/control/src/balancing.rs
+++ b/components/control/src/balancing.rs
@@ -16,23 +16,23 @@
 use crate::configuration::{BackendRecord, Configuration};
 use crate::messages::Backlog;
 
-use members::{Busy, Member, Pool, RoleCount, busy_engines, members, pools};
+use members::{BusyEngine, Member, Pool, RoleCount, busy_engines, members, pools};
 
-/// Half-life of a peak: longer than the swings of a mix within a minute, far shorter than
-/// its shifts over a day.
+/// Half-life of a peak: longer than the swings of the request mix within a minute, far
+/// shorter than its shifts over a day.
 const PEAK_HALF_LIFE: Millis = Millis::from_secs(120);
-/// Peak that is assumed before one was observed: the first swing of a mix must not take
-/// away engines that the next one needs.
+/// Peak that is assumed before one was observed: the first swing of the request mix must
+/// not take engines from the phase that the next swing needs.
 const ASSUMED_PEAK: f64 = 0.8;
 /// Decode engines run many requests at once and slow down gradually, so for them the
 /// assumed peak is limited to this multiple of the observed peak.
 const MAX_DECODE_SWING: f64 = 3.0;
 /// How long a new leader collects reports before it considers a pool to be without load.
 const INITIAL_OBSERVATION: Millis = Millis(1200);
-/// A phase that lacks less than one of this many engines of the pool is left as it is: the
-/// load of the other engines hardly changes, and a role change takes an engine out of
-/// routing for seconds.
-const MIN_ENGINES_PER_LACKING: usize = 100;
+/// If engines were added and the number of prefill engines differs from the pool's share by
+/// less than one in this many engines, no role changes: the load of the other engines would
+/// hardly change, and a role change takes an engine out of routing for seconds.
+const SHARE_TOLERANCE_DIVISOR: usize = 100;
 /// Limits of an engine if the route table states none.
 const DEFAULT_LIMITS: EngineLimits = EngineLimits {
     slots: 64,
@@ -45,8 +45,8 @@
 
 /// Occupancy of a phase: its average and its recent peak.
 ///
-/// A phase may need again what it needed a moment ago before an engine could change back,
-/// so decisions use the peak, which decays slowly.
+/// Load that has fallen may rise again sooner than an engine can change back to its earlier
+/// role, so decisions use the peak, which decays slowly.
 #[derive(Debug, Clone, Copy)]
 struct Demand {
     average: f64,
@@ -78,7 +78,7 @@
         self.peak.max(self.assumed_peak)
     }
 
-    /// The highest demand that a swing of the mix is expected to cause.
+    /// The highest demand that a swing of the request mix is expected to cause.
     fn max_swing(&self) -> f64 {
         self.peak * MAX_DECODE_SWING
     }
@@ -98,6 +98,7 @@
 struct PoolBalance {
     prefill: Demand,
     decode: Demand,
+    /// Whether this leader has observed any load in the pool so far.
     loaded: bool,
     /// When this leader began to observe the pool, and whether it has done so for long
     /// enough to know that there is no load.
@@ -255,12 +256,12 @@
         let engines = occupancy.engines();
         let unchanged_since = self.update_engine_count(engines, now);
         let newcomers = std::mem::take(&mut self.newcomers);
-        let present = occupancy.prefill_engines;
+        let prefill_engines = occupancy.prefill_engines;
         if self.loaded {
             let share = *self.share.get_or_insert(share_of(occupancy));
-            if let Some(role) = lacking_role(engines, share, present, &newcomers) {
+            if let Some(role) = lacking_role(engines, share, prefill_engines, &newcomers) {
                 let members = members();
-                let step = keep_share(&members, &newcomers, role, share, present);
+                let step = restore_share(&members, &newcomers, role, share, prefill_engines);
                 if step.is_some() {
                     return step;
                 }
@@ -291,14 +292,14 @@
         unchanged_since: Millis,
         now: Millis,
     ) -> Option<PoolStep> {
-        let present = occupancy.prefill_engines;
+        let prefill_engines = occupancy.prefill_engines;
         self.was_evaluated = true;
-        let wanted = if self.loaded {
-            self.wanted_prefill_engines(occupancy, settings)
+        let target = if self.loaded {
+            self.prefill_target(occupancy, settings)
         } else {
-            initial_prefill_engines(occupancy.engines(), present, settings)
+            initial_prefill_engines(occupancy.engines(), prefill_engines, settings)
         };
-        let role = match wanted.cmp(&present) {
+        let role = match target.cmp(&prefill_engines) {
             Ordering::Equal => return None,
             Ordering::Greater => EngineRole::Prefill,
             Ordering::Less => EngineRole::Mixed,
@@ -309,26 +310,26 @@
         if list_may_grow && now.since(unchanged_since) < INITIAL_OBSERVATION {
             return None;
         }
-        if self.is_resting(role, limits.role_change_ms, settings, now) {
+        if self.is_too_early(role, limits.role_change_ms, settings, now) {
             return None;
         }
-        let engines = choose_engines(members(), role, wanted.abs_diff(present));
+        let engines = choose_engines(members(), role, target.abs_diff(prefill_engines));
         if engines.is_empty() {
             return None;
         }
         self.last_change = Some(LastChange { at: now, role });
         self.rescale(occupancy, role, engines.len());
-        self.share = Some(wanted as f64 / occupancy.engines().max(1) as f64);
+        self.share = Some(target as f64 / occupancy.engines().max(1) as f64);
         Some(PoolStep { role, engines })
     }
 
     /// Updates the members and the newcomers. At the first update there are no newcomers.
     fn update(&mut self, members: &[Member<'_>]) {
         self.roles = RoleCount::of(members);
-        let present: BTreeSet<BackendId> = members.iter().map(|m| m.id.clone()).collect();
-        if let Some(before) = self.members.replace(present) {
-            let present = self.members.iter().flatten();
-            let added = present.filter(|id| !before.contains(*id));
+        let current: BTreeSet<BackendId> = members.iter().map(|m| m.id.clone()).collect();
+        if let Some(previous) = self.members.replace(current) {
+            let current = self.members.iter().flatten();
+            let added = current.filter(|id| !previous.contains(*id));
             self.newcomers.extend(added.cloned());
         }
     }
@@ -369,11 +370,7 @@
 
     /// Number of prefill engines that the pool should have. The phase that would lose an
     /// engine counts with its reserved demand.
-    fn wanted_prefill_engines(
-        &self,
-        occupancy: &PhaseOccupancy,
-        settings: &BalanceSettings,
-    ) -> usize {
+    fn prefill_target(&self, occupancy: &PhaseOccupancy, settings: &BalanceSettings) -> usize {
         let decode = self.decode.reserved().min(self.decode.max_swing());
         let more = PhaseOccupancy {
             decode,
@@ -384,15 +381,15 @@
             prefill,
             ..*occupancy
         };
-        let wanted = target_prefill_engines(&more, settings);
-        if wanted > occupancy.prefill_engines {
-            return wanted;
+        let target = target_prefill_engines(&more, settings);
+        if target > occupancy.prefill_engines {
+            return target;
         }
         target_prefill_engines(&fewer, settings).min(occupancy.prefill_engines)
     }
 
     /// Returns whether it is too early for another change to `role`.
-    fn is_resting(
+    fn is_too_early(
         &self,
         role: EngineRole,
         role_change: Millis,
@@ -402,28 +399,28 @@
         let Some(last) = self.last_change.filter(|_| self.loaded) else {
             return false;
         };
-        let rest = if last.role == role {
+        let min_interval = if last.role == role {
             settings.min_dwell
         } else {
             Millis(role_change.0 * settings.reversal_delay_factor)
         };
-        now.since(last.at) < rest
+        now.since(last.at) < min_interval
     }
 
     /// Adjusts the averages to the numbers of engines after a role change.
-    fn rescale(&mut self, before: &PhaseOccupancy, role: EngineRole, changed: usize) {
+    fn rescale(&mut self, previous: &PhaseOccupancy, role: EngineRole, changed: usize) {
         let factor = |before: usize, after: usize| before.max(1) as f64 / after.max(1) as f64;
         let prefill_engines = match role {
-            EngineRole::Prefill => before.prefill_engines + changed,
-            _ => before.prefill_engines.saturating_sub(changed),
+            EngineRole::Prefill => previous.prefill_engines + changed,
+            _ => previous.prefill_engines.saturating_sub(changed),
         };
-        let decode_engines = before.engines() - prefill_engines;
+        let decode_engines = previous.engines() - prefill_engines;
         self.prefill = self
             .prefill
-            .scaled(factor(before.prefill_engines, prefill_engines));
+            .scaled(factor(previous.prefill_engines, prefill_engines));
         self.decode = self
             .decode
-            .scaled(factor(before.decode_engines, decode_engines));
+            .scaled(factor(previous.decode_engines, decode_engines));
     }
 }
 
@@ -437,17 +434,17 @@
 fn lacking_role(
     engines: usize,
     share: f64,
-    present: usize,
+    prefill_engines: usize,
     newcomers: &BTreeSet<BackendId>,
 ) -> Option<EngineRole> {
     if newcomers.is_empty() {
         return None;
     }
-    let wanted = kept_share(engines, share);
-    if wanted.abs_diff(present) * MIN_ENGINES_PER_LACKING < engines {
+    let target = prefill_engines_for_share(engines, share);
+    if target.abs_diff(prefill_engines) * SHARE_TOLERANCE_DIVISOR < engines {
         return None;
     }
-    match wanted.cmp(&present) {
+    match target.cmp(&prefill_engines) {
         Ordering::Equal => None,
         Ordering::Greater => Some(EngineRole::Prefill),
         Ordering::Less => Some(EngineRole::Mixed),
@@ -455,21 +452,21 @@
 }
 
 /// Number of prefill engines with which the pool keeps its share.
-fn kept_share(engines: usize, share: f64) -> usize {
+fn prefill_engines_for_share(engines: usize, share: f64) -> usize {
     (engines as f64 * share).round() as usize
 }
 
 /// Engines that were added have roles in another proportion. Some of them change to
 /// `role`, so that the pool keeps its share; newcomers are chosen because they have cold
 /// caches and little work.
-fn keep_share(
+fn restore_share(
     members: &[Member<'_>],
     newcomers: &BTreeSet<BackendId>,
     role: EngineRole,
     share: f64,
-    present: usize,
+    prefill_engines: usize,
 ) -> Option<PoolStep> {
-    let wanted = kept_share(members.len(), share);
+    let target = prefill_engines_for_share(members.len(), share);
     let changes = |member: &&Member<'_>| {
         let is_prefill = member.role == EngineRole::Prefill;
         newcomers.contains(member.id) && is_prefill != (role == EngineRole::Prefill)
@@ -477,7 +474,7 @@
     let engines: Vec<BackendId> = members
         .iter()
         .filter(changes)
-        .take(wanted.abs_diff(present))
+        .take(target.abs_diff(prefill_engines))
         .map(|member| member.id.clone())
         .collect();
     (!engines.is_empty()).then_some(PoolStep { role, engines })
@@ -504,12 +501,12 @@
 }
 
 /// The occupancy of a pool, of which only engines that have work are examined.
-fn sample(roles: RoleCount, busy: &[Busy<'_>], limits: &EngineLimits) -> PhaseOccupancy {
+fn sample(roles: RoleCount, busy: &[BusyEngine<'_>], limits: &EngineLimits) -> PhaseOccupancy {
     let mut prefilling = 0;
     let mut decoding = 0;
     let mut decode = 0.0;
     let mut busy_slots = 0.0;
-    for Busy { role, backlog } in busy {
+    for BusyEngine { role, backlog } in busy {
         if *role == EngineRole::Prefill {
             prefilling += usize::from(backlog.uncached.total() > 0);
         } else {
--- a/components/control/src/balancing/members.rs
+++ b/components/control/src/balancing/members.rs
@@ -18,7 +18,7 @@
 }
 
 /// An engine that has work.
-pub(super) struct Busy<'a> {
+pub(super) struct BusyEngine<'a> {
     pub(super) role: EngineRole,
     pub(super) backlog: &'a Backlog,
 }
@@ -100,13 +100,15 @@
     configuration: &'a Configuration,
     backlogs: &'a BTreeMap<BackendId, Backlog>,
     excluded: &BTreeSet<BackendId>,
-) -> BTreeMap<PoolKey<'a>, Vec<Busy<'a>>> {
-    let mut busy: BTreeMap<PoolKey<'_>, Vec<Busy<'_>>> = BTreeMap::new();
+) -> BTreeMap<PoolKey<'a>, Vec<BusyEngine<'a>>> {
+    let mut busy: BTreeMap<PoolKey<'_>, Vec<BusyEngine<'_>>> = BTreeMap::new();
     for (id, backlog) in backlogs {
         let record = configuration.backends.get(id);
         if let Some((pool, member)) = record.and_then(|record| member(id, record, excluded)) {
             let role = member.role;
-            busy.entry(pool).or_default().push(Busy { role, backlog });
+            busy.entry(pool)
+                .or_default()
+                .push(BusyEngine { role, backlog });
         }
     }
     busy
--- a/components/control/src/configuration.rs
+++ b/components/control/src/configuration.rs
@@ -49,17 +49,17 @@
     pub address: String,
     /// Zone that it runs in.
     pub zone: String,
-    /// Start of an application's process, or [`UNTOLD_START`]. The start of an engine is
-    /// part of its [`EngineObservation`].
+    /// Identifies the start of an application's process, or [`UNTOLD_START`]. The start of
+    /// an engine is part of its [`EngineObservation`].
     pub start: u64,
 }
 
 impl BackendRegistration {
-    /// This registration, with the start of `former` if it has none: a source of the
+    /// This registration, with the start of `previous` if it has none: a source of the
     /// machine list may omit the start.
-    pub(crate) fn with_known_start(&self, former: &BackendRegistration) -> BackendRegistration {
+    pub(crate) fn with_known_start(&self, previous: &BackendRegistration) -> BackendRegistration {
         let start = match self.start {
-            UNTOLD_START => former.start,
+            UNTOLD_START => previous.start,
             known => known,
         };
         BackendRegistration {
@@ -72,25 +72,28 @@
 /// Observed state of an engine.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineObservation {
-    /// Start of the engine's process, or [`UNTOLD_START`].
+    /// Identifies the start of the engine's process, or [`UNTOLD_START`].
     pub incarnation: u64,
     /// Role and model of the engine.
     pub assignment: EngineAssignment,
 }
 
 impl EngineObservation {
-    /// Returns whether the engine has restarted since `former`, which means that it has
+    /// Returns whether the engine has restarted since `previous`, which means that it has
     /// lost its KV cache and its state.
-    pub fn is_restart_of(&self, former: &EngineObservation) -> bool {
-        let starts = [self.incarnation, former.incarnation];
-        !starts.contains(&UNTOLD_START) && self.incarnation != former.incarnation
+    pub fn is_restart_of(&self, previous: &EngineObservation) -> bool {
+        let starts = [self.incarnation, previous.incarnation];
+        !starts.contains(&UNTOLD_START) && self.incarnation != previous.incarnation
     }
 
-    /// This observation, with the start of `former` if it has none: some of the sources
+    /// This observation, with the start of `previous` if it has none: some of the sources
     /// that report an engine do not report its start.
-    pub(crate) fn with_known_start(&self, former: Option<&EngineObservation>) -> EngineObservation {
+    pub(crate) fn with_known_start(
+        &self,
+        previous: Option<&EngineObservation>,
+    ) -> EngineObservation {
         let start = match self.incarnation {
-            UNTOLD_START => former.map_or(UNTOLD_START, |former| former.incarnation),
+            UNTOLD_START => previous.map_or(UNTOLD_START, |previous| previous.incarnation),
             known => known,
         };
         EngineObservation {
@@ -99,9 +102,9 @@
         }
     }
 
-    /// Returns whether this observation contains anything that `former` does not.
-    pub(crate) fn adds_to(&self, former: Option<&EngineObservation>) -> bool {
-        former != Some(&self.with_known_start(former))
+    /// Returns whether this observation contains anything that `previous` does not.
+    pub(crate) fn adds_to(&self, previous: Option<&EngineObservation>) -> bool {
+        previous != Some(&self.with_known_start(previous))
     }
 }
 
@@ -146,7 +149,7 @@
     /// Start of the back end, or [`UNTOLD_START`].
     pub fn start(&self) -> u64 {
         let observed = self.observed.as_ref();
-        observed.map_or(self.registration.start, |seen| seen.incarnation)
+        observed.map_or(self.registration.start, |observed| observed.incarnation)
     }
 
     /// The pool of an engine: its service and its model.
@@ -158,7 +161,7 @@
     /// The assignment of the outstanding order, or else the observed one.
     pub fn assignment(&self) -> Option<&EngineAssignment> {
         let ordered = self.order.as_ref().map(|order| &order.assignment);
-        ordered.or(self.observed.as_ref().map(|seen| &seen.assignment))
+        ordered.or(self.observed.as_ref().map(|observed| &observed.assignment))
     }
 }
 
--- a/components/control/src/copies.rs
+++ b/components/control/src/copies.rs
@@ -1,9 +1,9 @@
 //! Which engines hold which prompt prefixes, as reported by gateways.
 //!
-//! A gateway sees only the prompts that it had prefilled itself. With the copies of its
-//! peers it can have a prefix copied from an engine that holds it instead of having it
-//! prefilled again. The table is only an estimate: it is bounded, never logged, and a new
-//! leader starts without it.
+//! A gateway knows only of the prefixes that engines prefilled for its own requests. With
+//! the copies of its peers it can have a prefix copied from an engine that holds it instead
+//! of having it prefilled again. The table is only an estimate: it is bounded, never
+//! logged, and a new leader starts without it.
 
 use std::collections::{BTreeMap, VecDeque};
 
--- a/components/control/src/encoding/mod.rs
+++ b/components/control/src/encoding/mod.rs
@@ -43,7 +43,7 @@
         /// The decoder's message.
         cause: String,
     },
-    /// the entry carries no version, and no version without one can have written it
+    /// the entry carries no version, and none of the versions that write such entries decodes it
     UnknownEncoding,
     /// the entry carries no version, and several versions read it differently
     Ambiguous,
--- a/components/control/src/encoding/v11/configuration.rs
+++ b/components/control/src/encoding/v11/configuration.rs
@@ -157,8 +157,8 @@
 }
 
 impl From<&CurrentRegistration> for BackendRegistration {
-    /// Drops the start. A process without starts takes all starts of a back end for the
-    /// same.
+    /// Drops the start. Builds of these versions do not distinguish the starts of a back
+    /// end.
     fn from(registration: &CurrentRegistration) -> Self {
         BackendRegistration {
             id: registration.id.clone(),
--- a/components/control/src/encoding/v12.rs
+++ b/components/control/src/encoding/v12.rs
@@ -11,7 +11,7 @@
 
 use super::decoded;
 use super::v11::{BackendRecord, BackendRegistration};
-use crate::command::{Command, CommandEnvelope, MachineUpdate as CurrentNote};
+use crate::command::{Command, CommandEnvelope, MachineUpdate as CurrentMachineUpdate};
 use crate::configuration::{
     Configuration as CurrentConfiguration, EngineObservation, PolicyRecord, QuarantineRecord,
     Session,
@@ -38,12 +38,12 @@
     observed: Option<EngineObservation>,
 }
 
-impl From<MachineUpdate> for CurrentNote {
-    fn from(note: MachineUpdate) -> Self {
-        CurrentNote {
-            registration: note.registration.into(),
-            state: note.state,
-            observed: note.observed,
+impl From<MachineUpdate> for CurrentMachineUpdate {
+    fn from(update: MachineUpdate) -> Self {
+        CurrentMachineUpdate {
+            registration: update.registration.into(),
+            state: update.state,
+            observed: update.observed,
         }
     }
 }
@@ -57,8 +57,8 @@
     let command = match head.command {
         PUT_BACKEND => Command::PutBackend(decoded::<BackendRegistration>(payload)?.into()),
         NOTE_MACHINES => {
-            let notes = decoded::<Vec<MachineUpdate>>(payload)?;
-            Command::NoteMachines(notes.into_iter().map(Into::into).collect())
+            let updates = decoded::<Vec<MachineUpdate>>(payload)?;
+            Command::NoteMachines(updates.into_iter().map(Into::into).collect())
         }
         _ => return decoded(bytes),
     };
--- a/components/control/src/fleet_load.rs
+++ b/components/control/src/fleet_load.rs
@@ -92,7 +92,7 @@
             !latest.digest.is_of(members) || now.since(latest.at) >= interval
         });
         if is_due {
-            self.make(members, configuration, now);
+            self.make_digest(members, configuration, now);
         }
         let latest = self.latest.as_ref()?;
         let sent = self.sent.insert(gateway.clone(), latest.number);
@@ -102,13 +102,18 @@
         })
     }
 
-    fn make(&mut self, members: BackendListHash, configuration: &Configuration, now: Millis) {
+    fn make_digest(
+        &mut self,
+        members: BackendListHash,
+        configuration: &Configuration,
+        now: Millis,
+    ) {
         self.reports
             .retain(|_, report| now.since(report.received_at) <= REPORT_LIFETIME);
         let reports = &self.reports;
         self.sent.retain(|gateway, _| reports.contains_key(gateway));
         let backends = &configuration.backends;
-        self.health.keep(|id| backends.contains_key(id));
+        self.health.retain(|id| backends.contains_key(id));
         let sums = self.sums(now);
         let services = backends
             .iter()
@@ -156,7 +161,7 @@
 
     /// Forgets how requests ended at a back end that has restarted.
     pub(crate) fn on_restart(&mut self, backend: &BackendId) {
-        self.health.keep(|id| id != backend);
+        self.health.retain(|id| id != backend);
     }
 
     pub(crate) fn clear(&mut self) {
--- a/components/control/src/fleet_sizing.rs
+++ b/components/control/src/fleet_sizing.rs
@@ -107,7 +107,7 @@
         }
     }
 
-    /// Engines that will be released as soon as others serve in their place.
+    /// Engines that will be released as soon as other engines serve in their place.
     pub(crate) fn engines_to_release(
         &self,
         routes: &RouteTable,
@@ -121,7 +121,7 @@
             };
             let needed = needed.get(&service.name).copied().unwrap_or_default();
             let zones: Vec<ZoneFleet> = listed.zones.values().copied().collect();
-            if target_fleet(needed, &fleet_terms(terms), &zones).is_some() {
+            if target_fleet(needed, &fleet_constraints(terms), &zones).is_some() {
                 engines.extend(listed.dedicated_engines.iter().cloned());
             }
         }
@@ -160,12 +160,12 @@
             return vec![SizingStep::NoteNeeded(service.name.clone(), dedicated)];
         }
         let zones: Vec<ZoneFleet> = listed.zones.values().copied().collect();
-        let Some(wanted) = target_fleet(needed, &fleet_terms(terms), &zones) else {
+        let Some(target) = target_fleet(needed, &fleet_constraints(terms), &zones) else {
             return Vec::new();
         };
         let is_settled = now.since(listed.grew_at) >= SETTLE_TIME;
         let mut steps = Vec::new();
-        for ((zone, present), wanted) in listed.zones.iter().zip(&wanted) {
+        for ((zone, listed_fleet), zone_target) in listed.zones.iter().zip(&target) {
             for kind in [EngineKind::Preemptible, EngineKind::Dedicated] {
                 if kind == EngineKind::Dedicated && !is_settled {
                     continue;
@@ -175,9 +175,9 @@
                     zone: zone.clone(),
                     kind,
                 };
-                let (present, wanted) = (present.count(kind), wanted.count(kind));
-                if self.is_due(&key, present, wanted, terms.start_ms, now) {
-                    steps.push(SizingStep::Order(key.order(wanted)));
+                let (listed_count, target) = (listed_fleet.count(kind), zone_target.count(kind));
+                if self.is_due(&key, listed_count, target, terms.start_ms, now) {
+                    steps.push(SizingStep::Order(key.order(target)));
                 }
             }
         }
@@ -188,26 +188,26 @@
     fn is_due(
         &self,
         key: &OrderKey,
-        present: u32,
-        wanted: u32,
+        listed_count: u32,
+        target: u32,
         start_time: Millis,
         now: Millis,
     ) -> bool {
         let Some(ordered) = self.ordered.get(key) else {
-            return present != wanted;
+            return listed_count != target;
         };
         if now < ordered.retry_at {
             return false;
         }
-        if ordered.engines != Some(wanted) {
+        if ordered.engines != Some(target) {
             return true;
         }
-        let expected_duration = if present < wanted {
+        let expected_duration = if listed_count < target {
             start_time + LIST_DELAY
         } else {
             RELEASE_DURATION
         };
-        present != wanted && now.since(ordered.at) >= expected_duration
+        listed_count != target && now.since(ordered.at) >= expected_duration
     }
 
     /// Records that an order is sent now.
@@ -267,7 +267,7 @@
     }
 }
 
-fn fleet_terms(terms: &BuyingTerms) -> FleetConstraints {
+fn fleet_constraints(terms: &BuyingTerms) -> FleetConstraints {
     FleetConstraints {
         min_per_zone: terms.least_in_zone,
         max_per_zone: terms.most_in_zone,
--- a/components/control/src/gateways.rs
+++ b/components/control/src/gateways.rs
@@ -55,8 +55,8 @@
             confirmed_index: index,
             lease_end,
         };
-        let before = self.leases.insert(gateway, lease);
-        if before.is_none_or(|before| before.lease_end <= now) {
+        let previous = self.leases.insert(gateway, lease);
+        if previous.is_none_or(|previous| previous.lease_end <= now) {
             self.valid_count += 1;
             self.next_expiry = self.next_expiry.min(lease_end);
         }
@@ -65,11 +65,11 @@
     /// Returns whether no gateway can still take new work under a configuration older than
     /// `index`.
     pub fn all_confirmed(&self, index: u64, now: Millis) -> bool {
-        let known = self
+        let known_confirmed = self
             .leases
             .values()
             .all(|lease| lease.confirmed_index >= index || lease.lease_end <= now);
-        known && now >= self.unknown_until
+        known_confirmed && now >= self.unknown_until
     }
 
     /// Forgets gateways whose lease expired long ago.
--- a/components/control/src/group_step.rs
+++ b/components/control/src/group_step.rs
@@ -58,21 +58,24 @@
 /// Decides the next step of the repair, if there is any.
 pub fn next_step(
     members: &[MemberStatus],
-    candidates: &[JoinRequest],
+    join_requests: &[JoinRequest],
     settings: GroupSettings,
 ) -> Option<GroupStep> {
     let replaced = |member: &&MemberStatus| {
-        let has_its_address = |candidate: &&JoinRequest| {
-            candidate.peer_address == member.peer_address && candidate.id != member.id
+        let has_its_address = |request: &&JoinRequest| {
+            request.peer_address == member.peer_address && request.id != member.id
         };
-        !member.is_leader && candidates.iter().any(|c| has_its_address(&c))
+        !member.is_leader
+            && join_requests
+                .iter()
+                .any(|request| has_its_address(&request))
     };
     if let Some(member) = members.iter().find(replaced) {
         return Some(GroupStep::Remove(member.id));
     }
     let is_member = |id: ReplicaId| members.iter().any(|member| member.id == id);
-    if let Some(candidate) = candidates.iter().find(|c| !is_member(c.id)) {
-        return Some(GroupStep::Admit(candidate.clone()));
+    if let Some(request) = join_requests.iter().find(|request| !is_member(request.id)) {
+        return Some(GroupStep::Admit(request.clone()));
     }
     let ready = members.iter().find(|member| {
         !member.voter && member.caught_up && member.silent_for < MAX_PROMOTION_SILENCE
@@ -89,9 +92,9 @@
             return Some(GroupStep::Remove(voter.id));
         }
     }
-    let forgotten = |member: &&MemberStatus| {
+    let is_lost_learner = |member: &&MemberStatus| {
         !member.voter && !member.is_leader && member.silent_for >= LEARNER_TIMEOUT
     };
-    let learner = members.iter().find(forgotten)?;
+    let learner = members.iter().find(is_lost_learner)?;
     Some(GroupStep::Remove(learner.id))
 }
--- a/components/control/src/load_digest.rs
+++ b/components/control/src/load_digest.rs
@@ -34,7 +34,7 @@
 /// engine priorities of [`Entry::uncached_units`].
 const FAILING: u16 = 1 << 15;
 
-/// Identifies an ordered list of back ends.
+/// Identifies an ordered list of back ends, such as those of a configuration.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BackendListHash(u64);
 
@@ -81,6 +81,7 @@
 struct Entry {
     /// Number of back ends left out since the previous entry.
     skipped: u32,
+    /// [`FAILING`], and a bit for each priority that has a count in `uncached_units`.
     marks: u16,
     requests: u64,
     held_units: u64,
--- a/components/control/src/planning.rs
+++ b/components/control/src/planning.rs
@@ -44,13 +44,13 @@
 
     /// Adds the load that a gateway reported.
     pub(crate) fn add(&mut self, mixes: &[PoolMix]) {
-        for seen in mixes {
-            let pool = (seen.service.clone(), seen.model.clone());
+        for mix in mixes {
+            let pool = (mix.service.clone(), mix.model.clone());
             let offered = self.offered.entry(pool).or_default();
-            offered.requests += seen.requests as f64;
-            offered.prompt_bound += seen.prompt_bound as f64;
-            offered.prompt_tokens += seen.prompt_tokens as f64;
-            offered.output_tokens += seen.output_tokens as f64;
+            offered.requests += mix.requests as f64;
+            offered.prompt_bound += mix.prompt_bound as f64;
+            offered.prompt_tokens += mix.prompt_tokens as f64;
+            offered.output_tokens += mix.output_tokens as f64;
         }
     }
 
@@ -58,11 +58,11 @@
     pub(crate) fn decide(
         &mut self,
         configuration: &Configuration,
-        facts: impl Fn(&BackendId) -> Option<EngineFacts>,
+        load_of: impl Fn(&BackendId) -> Option<EngineLoad>,
         now: Millis,
     ) -> Vec<PlannedChange> {
-        let before = *self.planned_at.get_or_insert(now);
-        let elapsed = now.since(before);
+        let previous = *self.planned_at.get_or_insert(now);
+        let elapsed = now.since(previous);
         if elapsed < PLANNING_INTERVAL {
             return Vec::new();
         }
@@ -70,7 +70,7 @@
         let offered = std::mem::take(&mut self.offered);
         self.read_price(configuration);
         let price = self.price;
-        let pools = pools(configuration, &facts);
+        let pools = pools(configuration, &load_of);
         let mut changes = Vec::new();
         for (pool, members) in pools {
             let planner = self
@@ -107,7 +107,7 @@
 
 /// Load and capacity of an engine from its latest status, if that is recent.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct EngineFacts {
+pub(crate) struct EngineLoad {
     pub(crate) running: u64,
     pub(crate) capacity: EngineCapacity,
 }
@@ -120,7 +120,7 @@
 
 fn pools(
     configuration: &Configuration,
-    facts: impl Fn(&BackendId) -> Option<EngineFacts>,
+    load_of: impl Fn(&BackendId) -> Option<EngineLoad>,
 ) -> BTreeMap<Pool, PoolMembers> {
     let mut pools: BTreeMap<Pool, PoolMembers> = BTreeMap::new();
     for (id, record) in &configuration.backends {
@@ -132,15 +132,15 @@
             assignment.model.clone(),
         );
         let members = pools.entry(pool).or_default();
-        let known = facts(id);
-        if let Some(known) = known {
-            members.capacity = known.capacity;
+        let load = load_of(id);
+        if let Some(load) = load {
+            members.capacity = load.capacity;
         }
         members.engines.push(Engine {
             id: id.clone(),
             role: assignment.role,
-            serving: record.takes_work() && known.is_some(),
-            load: known.map_or(0, |known| known.running),
+            serving: record.takes_work() && load.is_some(),
+            load: load.map_or(0, |load| load.running),
         });
     }
     pools
--- a/components/control/src/replica/engines.rs
+++ b/components/control/src/replica/engines.rs
@@ -6,7 +6,7 @@
 
 use crate::command::{Command, MachineUpdate};
 use crate::effects::{Effect, EngineRequest, MachineEntry};
-use crate::planning::EngineFacts;
+use crate::planning::EngineLoad;
 use crate::reconciler::{Step, StepContext};
 
 use super::Replica;
@@ -30,9 +30,9 @@
         self.inspected_backends += (engines.len() + configuration.backends.len()) as u64;
         let census = configuration.pool_census();
         let balancing = self.balancing.as_ref();
-        let has_idle_orders = self.has_all_commands();
+        let supports_idle_orders = self.has_all_commands();
         let is_idle = |engine: &BackendId| {
-            has_idle_orders
+            supports_idle_orders
                 && balancing.is_some_and(|balancing| balancing.is_idle(configuration, engine))
         };
         let context = StepContext {
@@ -88,15 +88,15 @@
         };
         let now = self.now;
         let reconciler = &self.reconciler;
-        let facts = |engine: &BackendId| {
+        let load_of = |engine: &BackendId| {
             reconciler
                 .fresh_status(engine, now)
-                .map(|status| EngineFacts {
+                .map(|status| EngineLoad {
                     running: status.running,
                     capacity: status.capacity,
                 })
         };
-        let changes = planning.decide(&self.state.configuration, facts, now);
+        let changes = planning.decide(&self.state.configuration, load_of, now);
         for change in changes {
             self.propose_own(Command::Assign {
                 engine: change.engine,
@@ -112,11 +112,11 @@
         };
         let backlogs = self.fleet_load.sums(self.now);
         let configuration = &self.state.configuration;
-        let returned = configuration.routes.as_ref().map(|routes| {
+        let to_release = configuration.routes.as_ref().map(|routes| {
             self.sizing
                 .engines_to_release(routes, &self.state.needed_engines)
         });
-        let mut excluded = returned.unwrap_or_default();
+        let mut excluded = to_release.unwrap_or_default();
         // An engine with a limit adds almost no capacity to its phase, and a change of role
         // would not help it.
         excluded.extend(self.limiting.backends().cloned());
@@ -145,9 +145,9 @@
     /// Processes the platform's list of machines. The list lags and may contradict itself,
     /// so a missing machine is only taken out of routing, and only after a while.
     ///
-    /// Changes go into the log in commands of many machines, so that a start with many
-    /// machines adds only a few hundredths of an entry for each. While changes of an
-    /// earlier list are being committed, later lists are skipped.
+    /// Changes go into the log in commands of many machines, so that at the start of a
+    /// large fleet each machine costs only a few hundredths of a log entry. While changes
+    /// of an earlier list are being committed, later lists are skipped.
     pub(super) fn handle_machines(&mut self, machines: &[MachineEntry]) {
         if !self.node.holds_lease(self.now) {
             return;
@@ -161,7 +161,7 @@
         for entry in machines {
             self.handle_restart(entry);
         }
-        let mut notes: Vec<MachineUpdate> = machines
+        let mut updates: Vec<MachineUpdate> = machines
             .iter()
             .filter_map(|entry| self.machine_change(entry))
             .collect();
@@ -180,20 +180,20 @@
         }
         for id in missing {
             match self.handle_missing(&id) {
-                Some(MissingOutcome::Leaving(note)) => notes.push(note),
+                Some(MissingOutcome::Leaving(update)) => updates.push(update),
                 Some(MissingOutcome::Removed) => removed.push(id),
                 None => {}
             }
         }
         if !self.has_all_commands() {
-            notes
+            updates
                 .iter()
-                .for_each(|note| self.propose_v11_commands(note));
+                .for_each(|update| self.propose_v11_commands(update));
             let remove = |id| self.propose_machine_command(Command::RemoveBackend(id));
             removed.into_iter().for_each(remove);
             return;
         }
-        for chunk in notes.chunks(MAX_MACHINES_PER_COMMAND) {
+        for chunk in updates.chunks(MAX_MACHINES_PER_COMMAND) {
             self.propose_machine_command(Command::NoteMachines(chunk.to_vec()));
         }
         for chunk in removed.chunks(MAX_MACHINES_PER_COMMAND) {
@@ -215,21 +215,21 @@
     }
 
     /// Proposes the changes of a machine in commands that version 11 has.
-    fn propose_v11_commands(&mut self, note: &MachineUpdate) {
-        let id = &note.registration.id;
+    fn propose_v11_commands(&mut self, update: &MachineUpdate) {
+        let id = &update.registration.id;
         let known = self.state.configuration.backends.get(id);
-        let is_known = known.is_some_and(|record| record.registration == note.registration);
+        let is_known = known.is_some_and(|record| record.registration == update.registration);
         let machine = known.map_or(MachineState::Live, |record| record.machine);
         if !is_known {
-            self.propose_machine_command(Command::PutBackend(note.registration.clone()));
+            self.propose_machine_command(Command::PutBackend(update.registration.clone()));
         }
-        if machine != note.state {
+        if machine != update.state {
             self.propose_machine_command(Command::SetMachine {
                 backend: id.clone(),
-                state: note.state,
+                state: update.state,
             });
         }
-        if let Some(observation) = &note.observed {
+        if let Some(observation) = &update.observed {
             self.propose_machine_command(Command::Observe {
                 engine: id.clone(),
                 observation: observation.clone(),
@@ -249,7 +249,7 @@
             self.reconciler.on_restart(id);
             self.copies.on_restart(id);
             self.fleet_load.on_restart(id);
-            self.limiting.started_again(id);
+            self.limiting.on_restart(id);
         }
     }
 
--- a/components/control/src/replica/group.rs
+++ b/components/control/src/replica/group.rs
@@ -11,23 +11,23 @@
 use crate::messages::JoinRequest;
 
 /// How long a request to join counts. A replica repeats its request more often than this.
-const CANDIDATE_LIFETIME: Millis = Millis(2000);
+const JOIN_REQUEST_LIFETIME: Millis = Millis(2000);
 
-/// Replicas that recently asked to join; the latest request of each address counts.
+/// Recent requests to join; the latest one of each address counts.
 #[derive(Debug, Default)]
-pub(super) struct Candidates {
+pub(super) struct JoinRequests {
     by_address: BTreeMap<String, (JoinRequest, Millis)>,
 }
 
-impl Candidates {
-    fn insert_request(&mut self, request: JoinRequest, now: Millis) {
+impl JoinRequests {
+    fn insert(&mut self, request: JoinRequest, now: Millis) {
         let address = request.peer_address.clone();
         self.by_address.insert(address, (request, now));
     }
 
     fn recent(&mut self, now: Millis) -> Vec<JoinRequest> {
         self.by_address
-            .retain(|_, (_, received_at)| now.since(*received_at) <= CANDIDATE_LIFETIME);
+            .retain(|_, (_, received_at)| now.since(*received_at) <= JOIN_REQUEST_LIFETIME);
         let requests = self.by_address.values();
         requests.map(|(request, _)| request.clone()).collect()
     }
@@ -41,7 +41,7 @@
     /// Records the request of a replica to join, or forwards it to the leader.
     pub(super) fn handle_join(&mut self, request: JoinRequest) {
         if self.node.is_leader() {
-            self.candidates.insert_request(request, self.now);
+            self.join_requests.insert(request, self.now);
             return;
         }
         let own = self.node.id();
@@ -59,16 +59,16 @@
         let Some(settings) = self.settings.group else {
             return;
         };
-        let candidates = self.candidates.recent(self.now);
-        let members = member_facts(&self.node);
-        let Some(step) = next_step(&members, &candidates, settings) else {
+        let requests = self.join_requests.recent(self.now);
+        let members = member_statuses(&self.node);
+        let Some(step) = next_step(&members, &requests, settings) else {
             return;
         };
         let proposed = match &step {
-            GroupStep::Admit(candidate) => self.node.add_learner(
-                candidate.id,
-                candidate.peer_address.clone(),
-                candidate.admin_address.clone(),
+            GroupStep::Admit(request) => self.node.add_learner(
+                request.id,
+                request.peer_address.clone(),
+                request.admin_address.clone(),
             ),
             GroupStep::Promote(id) => self.node.promote(*id),
             GroupStep::Remove(id) => self.node.remove_member(*id),
@@ -79,7 +79,7 @@
     }
 }
 
-fn member_facts(node: &Node) -> Vec<MemberStatus> {
+fn member_statuses(node: &Node) -> Vec<MemberStatus> {
     let members = &node.membership().members;
     members
         .iter()
--- a/components/control/src/replica/leadership.rs
+++ b/components/control/src/replica/leadership.rs
@@ -29,7 +29,7 @@
             self.gateways = GatewayLeases::at_start_of_term(self.now);
             let backends = self.state.configuration.backends.values();
             self.reconciler = Reconciler::new(self.settings.engine_polling, backends);
-            self.candidates.clear();
+            self.join_requests.clear();
             self.fleet_load.clear();
             self.copies.clear();
             self.quarantining = Quarantining::default();
--- a/components/control/src/replica/level.rs
+++ b/components/control/src/replica/level.rs
@@ -43,7 +43,7 @@
     /// Versions of gateways by name; only those of earlier versions.
     earlier_gateway_names: BTreeMap<GatewayId, EncodingVersion>,
     /// When the last connection of a gateway of an earlier version closed.
-    earlier_gateway_at: Option<Millis>,
+    earlier_gateway_closed_at: Option<Millis>,
     /// Since when every process has supported a higher level.
     ready_since: Option<Millis>,
     /// Whether a requested change needs a higher level.
@@ -140,7 +140,7 @@
 
     pub(super) fn on_gateway_closed(&mut self, connection: u64) {
         if self.versions.earlier_gateways.remove(&connection).is_some() {
-            self.versions.earlier_gateway_at = Some(self.now);
+            self.versions.earlier_gateway_closed_at = Some(self.now);
         }
     }
 
@@ -172,7 +172,7 @@
         }
         let own_version = self.version();
         match encoding.level() {
-            // No build of these versions can be a member of the same group as this one.
+            // Builds of versions 12 to 15 can't be members of the same group as this build.
             Some(EncodingVersion::V12) => Ok(own_version),
             Some(level) => Ok(level),
             // Builds of a single version wrote the log, and some of them may still run.
@@ -240,7 +240,8 @@
     fn has_earlier_gateways(&self) -> bool {
         let versions = &self.versions;
         let is_recent = |at: Millis| self.now.since(at) < self.settings.upgrade.rollback_window;
-        !versions.earlier_gateways.is_empty() || versions.earlier_gateway_at.is_some_and(is_recent)
+        !versions.earlier_gateways.is_empty()
+            || versions.earlier_gateway_closed_at.is_some_and(is_recent)
     }
 
     fn unconfirmed_members(&self) -> Vec<ReplicaId> {
--- a/components/control/src/replica/limiting.rs
+++ b/components/control/src/replica/limiting.rs
@@ -53,7 +53,7 @@
     }
 
     /// Removes the limit of a back end that has restarted.
-    pub(super) fn started_again(&mut self, id: &BackendId) {
+    pub(super) fn on_restart(&mut self, id: &BackendId) {
         self.ledger.forget(id);
     }
 
@@ -140,8 +140,8 @@
     }
 
     /// Answers a request for a permit.
-    pub(super) fn answer_permit_request(&mut self, ask: &PermitRequest) -> ControlReply {
-        ControlReply::Permit(self.limiting.ledger.request_permit(ask, self.now))
+    pub(super) fn answer_permit_request(&mut self, request: &PermitRequest) -> ControlReply {
+        ControlReply::Permit(self.limiting.ledger.request_permit(request, self.now))
     }
 
     /// Sends the list of limits to a gateway that watches, unless it has the newest one.
@@ -165,8 +165,8 @@
         self.limiting
             .ledger
             .retain_known(|id| backends.contains_key(id));
-        let known = &self.gateways;
+        let gateways = &self.gateways;
         let states = &mut self.limiting.gateways;
-        states.retain(|gateway, _| known.is_known(gateway));
+        states.retain(|gateway, _| gateways.is_known(gateway));
     }
 }
--- a/components/control/src/replica/log.rs
+++ b/components/control/src/replica/log.rs
@@ -16,8 +16,8 @@
 use super::level::ProposalError;
 use super::{PendingProposal, Replica, Requester, Waiter};
 
-/// A large state is written again only after so many entries that each of them accounts for
-/// this many of its bytes.
+/// The number of entries between two snapshots is at least the size of the first one divided
+/// by this, so that a large state is written less often.
 const SNAPSHOT_BYTES_PER_ENTRY: u64 = 2048;
 
 /// Longest time that an operator request waits for its change to be in force.
@@ -168,7 +168,8 @@
         if !is_due || self.halted.is_some() {
             return;
         }
-        // A state that the level's version can't express was never proposed at that level.
+        // This does not fail: a command that the level's version can't express is refused
+        // before it is proposed.
         let Ok(data) = self.state.encode() else {
             return;
         };
--- a/components/control/src/replica/mod.rs
+++ b/components/control/src/replica/mod.rs
@@ -20,7 +20,7 @@
 use thiserror::Error;
 
 use duties::DutyState;
-use group::Candidates;
+use group::JoinRequests;
 use level::Versions;
 use limiting::Limiting;
 use quarantining::Quarantining;
@@ -43,7 +43,8 @@
 /// Interval between two reconciliation passes of the leader.
 const RECONCILE_INTERVAL: Millis = Millis(100);
 
-/// When the leader acts on machines that are missing from the platform's list.
+/// When the leader acts on machines that are missing from the platform's directory, its
+/// list of machines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct DirectorySettings {
     /// A machine that is missing from the list for this time counts as leaving.
@@ -182,7 +183,7 @@
     pending: BTreeMap<u64, PendingProposal>,
     waiters: Vec<Waiter>,
     removals: Vec<Removal>,
-    candidates: Candidates,
+    join_requests: JoinRequests,
     gateways: GatewayLeases,
     fleet_load: FleetLoad,
     copies: Copies,
@@ -252,7 +253,7 @@
             pending: BTreeMap::new(),
             waiters: Vec::new(),
             removals: Vec::new(),
-            candidates: Candidates::default(),
+            join_requests: JoinRequests::default(),
             gateways: GatewayLeases::default(),
             fleet_load: FleetLoad::default(),
             copies: Copies::default(),
--- a/components/control/src/replica/quarantining.rs
+++ b/components/control/src/replica/quarantining.rs
@@ -189,6 +189,7 @@
             tracker, proposed, ..
         } = &mut self.quarantining;
         let now_logged = proposed.extract_if(.., |id| logged.contains_key(id));
+        // The entries are removed as the iterator is consumed.
         let _count = now_logged.count();
         let is_released =
             |id: &RequestFingerprint| !logged.contains_key(id) && !proposed.contains(id);
--- a/components/control/src/watch.rs
+++ b/components/control/src/watch.rs
@@ -19,9 +19,9 @@
 const MAX_CHANGES_BEHIND: usize = 1024;
 
 /// An update counts as lost if the gateway's watch requests do not confirm it within this
-/// time, the time of two watch requests, ...
+/// time, in which it sends two of them, plus [`UPDATE_TIMEOUT_PER_CHANGE`] for each change.
 const UPDATE_TIMEOUT: Millis = Millis(500);
-/// ... plus the time that each change takes on a link of 100 KB/s.
+/// Time that one change takes on a link of 100 KB/s.
 const UPDATE_TIMEOUT_PER_CHANGE: Millis = Millis(2);
 
 /// The latest update sent to each gateway, so that an update in flight is not sent again
@@ -42,30 +42,31 @@
 }
 
 impl SentUpdates {
-    /// The index that the next update applies to, for a gateway that reports `asked` as
-    /// the index of its configuration.
-    fn base(&self, gateway: &GatewayId, connection: u64, asked: u64, now: Millis) -> u64 {
+    /// The index that the next update applies to, for a gateway that reports
+    /// `reported_index` as the index of its configuration.
+    fn base(&self, gateway: &GatewayId, connection: u64, reported_index: u64, now: Millis) -> u64 {
         let in_flight = |sent: &&Sent| {
-            sent.connection == connection && sent.index > asked && now < sent.lost_at
+            sent.connection == connection && sent.index > reported_index && now < sent.lost_at
         };
         let sent = self.sent.get(gateway).filter(in_flight);
-        sent.map_or(asked, |sent| sent.index)
+        sent.map_or(reported_index, |sent| sent.index)
     }
 
-    /// The update for a gateway that reports `asked` as the index of its configuration.
+    /// The update for a gateway that reports `reported_index` as the index of its
+    /// configuration.
     pub(crate) fn update_for(
         &mut self,
         gateway: &GatewayId,
         connection: u64,
-        asked: u64,
+        reported_index: u64,
         now: Millis,
         recent: &mut RecentChanges,
         configuration: &Configuration,
     ) -> WatchUpdate {
-        let base = self.base(gateway, connection, asked, now);
+        let base = self.base(gateway, connection, reported_index, now);
         let update = recent.update_for(base, configuration);
         match update {
-            WatchUpdate::Current if base > asked => return WatchUpdate::UnderWay,
+            WatchUpdate::Current if base > reported_index => return WatchUpdate::UnderWay,
             // Parts are tracked by the gateway, which requests them itself.
             WatchUpdate::Current | WatchUpdate::Parts { .. } => return update,
             _ => {}
@@ -142,7 +143,8 @@
 }
 
 impl RecentChanges {
-    /// The same for a gateway whose version does not support parts.
+    /// Does the same as [`Self::update_for`], for a gateway whose version does not support
+    /// parts.
     pub(crate) fn update_in_one(
         &mut self,
         from: u64,
--- a/components/control/tests/group_repair/machines.rs
+++ b/components/control/tests/group_repair/machines.rs
@@ -137,7 +137,7 @@
         }
     }
 
-    /// Ends the process and loses its disk: the machine returns with an unknown identity.
+    /// Ends the process and loses its disk: the machine returns with a new identity.
     pub fn wipe(&mut self, drawn_identity: u64) {
         let address = self.address.clone();
         *self = Machine {
--- a/components/control/tests/state/balancing.rs
+++ b/components/control/tests/state/balancing.rs
@@ -90,13 +90,13 @@
 fn assigned_roles(
     leader: &mut Leader,
     lists: &[Vec<MachineEntry>],
-    watched: &Event,
+    watch_event: &Event,
 ) -> Vec<EngineRole> {
     let mut roles = Vec::new();
     for list in lists {
         leader.handle_event(Event::Machines(list.clone()));
         for _ in 0..4 {
-            leader.handle_event(watched.clone());
+            leader.handle_event(watch_event.clone());
             let happened = leader.run(Millis(250));
             roles.extend(happened.into_iter().filter_map(|effect| match effect {
                 Effect::Balanced { assignment, .. } => Some(assignment.role),
@@ -150,7 +150,7 @@
 }
 
 /// Number of back ends that a leader examines in five idle seconds.
-fn looked_at(engines: usize) -> u64 {
+fn examined_backends(engines: usize) -> u64 {
     let mut leader = leader();
     let lists: Vec<_> = (0..4).map(|_| pool(engines)).collect();
     assigned_roles(&mut leader, &lists, &watch(0, 0));
@@ -163,7 +163,7 @@
 /// second, with a copy of its name each time, also while nothing happened.
 #[test]
 fn an_idle_leader_examines_no_back_ends() {
-    assert_eq!(looked_at(400), looked_at(800));
+    assert_eq!(examined_backends(400), examined_backends(800));
 }
 
 /// Number of roles assigned when one engine of a loaded pool is replaced by one of another
@@ -190,10 +190,10 @@
 #[test]
 fn a_new_leader_under_load_keeps_the_current_split() {
     let mut leader = leader();
-    let light = watch(0, 5);
+    let idle = watch(0, 5);
     let lists = vec![list(4); 3];
-    let roles = assigned_roles(&mut leader, &lists, &light);
-    // No prompt is prefilled, but requests run: the current split is kept.
+    let roles = assigned_roles(&mut leader, &lists, &idle);
+    // The load is small, and the initial share only applies to a pool without load.
     let busy = watch(50, 2);
     let mut other = self::leader();
     let kept = assigned_roles(&mut other, &lists, &busy);
@@ -210,8 +210,8 @@
     assert_eq!(roles, []);
 }
 
-/// Every third engine decodes `requests` requests of 2,000 tokens each; the others prefill
-/// if `prefill` is set.
+/// The last three of nine engines decode `requests` requests of 2,000 tokens each; the
+/// others prefill if `prefill` is set.
 fn mix(prefill: bool, requests: u64) -> Event {
     let backlog = |number: usize| {
         let decodes = number >= 6;
@@ -237,8 +237,8 @@
 fn a_lasting_load_changes_roles() {
     let mut leader = leader();
     // Twice as many requests as slots, for six minutes.
-    let stays = mix(false, 128);
-    let roles = assigned_roles(&mut leader, &vec![list(6); 360], &stays);
+    let lasting = mix(false, 128);
+    let roles = assigned_roles(&mut leader, &vec![list(6); 360], &lasting);
     assert_eq!(roles.first(), Some(&EngineRole::Mixed), "{roles:?}");
 }
 
@@ -277,11 +277,11 @@
 
 /// Number of engines with an outstanding order after a list of decode engines was read for
 /// some seconds.
-fn out_of_service(watched: &Event) -> usize {
+fn out_of_service(watch_event: &Event) -> usize {
     let mut leader = leader();
     let all_decode = || list(1);
     let lists = vec![all_decode(); 5];
-    assigned_roles(&mut leader, &lists, watched);
+    assigned_roles(&mut leader, &lists, watch_event);
     let backends = &leader.replica.state().configuration.backends;
     backends.values().filter(|r| r.order.is_some()).count()
 }
--- a/components/control/tests/state/configuration_transfer.rs
+++ b/components/control/tests/state/configuration_transfer.rs
@@ -40,11 +40,11 @@
 
 fn leader_with(machines: usize) -> Leader {
     let mut leader = leader();
-    take(&mut leader, list(machines));
+    apply_list(&mut leader, list(machines));
     leader
 }
 
-fn take(leader: &mut Leader, list: Vec<MachineEntry>) {
+fn apply_list(leader: &mut Leader, list: Vec<MachineEntry>) {
     leader.handle_event(Event::Machines(list));
     leader.persist();
     let _effects = leader.replica.take_effects();
@@ -106,7 +106,7 @@
             entry.state = MachineState::Leaving;
         }
         left += 1;
-        take(leader, changed);
+        apply_list(leader, changed);
     });
     assert!(left > 1, "the configuration came in one part");
     let answer = watch(&mut leader, 1, loaded.index);
@@ -133,7 +133,7 @@
         indices.push(*index);
         let mut next = list(2_000 + gateway);
         next.push(entry(9_000 + gateway, MachineState::Live));
-        take(&mut leader, next);
+        apply_list(&mut leader, next);
     }
     indices.dedup();
     assert_eq!(indices.len(), 1, "{indices:?}");
--- a/components/control/tests/state/gateway_leases.rs
+++ b/components/control/tests/state/gateway_leases.rs
@@ -33,9 +33,12 @@
     let (small, large) = (examined_by(100), examined_by(200));
     assert!(
         large <= small * 5 / 2,
-        "{small} looks for 100 gateways, {large} for 200"
+        "{small} leases examined for 100 gateways, {large} for 200"
+    );
+    assert!(
+        small <= 100 * 10,
+        "{small} leases examined for 100 gateways"
     );
-    assert!(small <= 100 * 10, "{small} looks for 100 gateways");
 }
 
 #[test]
--- a/components/control/tests/state/load_digest.rs
+++ b/components/control/tests/state/load_digest.rs
@@ -105,20 +105,20 @@
     states
 }
 
-/// Each of `gateways` reports `seen` in each of `rounds`; returns which back ends are
+/// Each of `gateways` reports `outcomes` in each of `rounds`; returns which back ends are
 /// failing then.
 fn failing_after(
     leader: &mut Leader,
     gateways: usize,
     rounds: usize,
-    seen: impl Fn(usize) -> Vec<Evidence>,
+    outcomes: impl Fn(usize) -> Vec<Evidence>,
 ) -> Vec<usize> {
     let mut last = None;
     for _ in 0..rounds {
         leader.run(INTERVAL);
         for gateway in 0..gateways {
             let name = format!("gateway-{gateway}");
-            last = watch(leader, &name, Vec::new(), seen(gateway)).or(last);
+            last = watch(leader, &name, Vec::new(), outcomes(gateway)).or(last);
         }
     }
     leader.run(INTERVAL);
@@ -161,8 +161,8 @@
 #[test]
 fn a_back_end_that_fails_several_gateways_is_failing_for_all() {
     let mut leader = leader();
-    let seen = |_| vec![evidence(2, 0, 1), evidence(3, 1, 0)];
-    assert_eq!(failing_after(&mut leader, 2, 1, seen), [2]);
+    let outcomes = |_| vec![evidence(2, 0, 1), evidence(3, 1, 0)];
+    assert_eq!(failing_after(&mut leader, 2, 1, outcomes), [2]);
 }
 
 #[test]
@@ -178,8 +178,8 @@
 #[test]
 fn failures_common_to_all_back_ends_mark_none_as_failing() {
     let mut leader = leader();
-    let seen = |_| (0..BACKENDS).map(|n| evidence(n, 3, 2)).collect();
-    assert_eq!(failing_after(&mut leader, 4, 5, seen), NONE_FAILING);
+    let outcomes = |_| (0..BACKENDS).map(|n| evidence(n, 3, 2)).collect();
+    assert_eq!(failing_after(&mut leader, 4, 5, outcomes), NONE_FAILING);
 }
 
 #[rstest]
@@ -192,11 +192,11 @@
     #[case] is_failing: bool,
 ) {
     let mut leader = leader();
-    let seen = |_| {
+    let outcomes = |_| {
         let healthy = (1..BACKENDS).map(|number| evidence(number, 10, 0));
         healthy.chain([evidence(0, answered, failed)]).collect()
     };
-    let failing = failing_after(&mut leader, 3, 5, seen);
+    let failing = failing_after(&mut leader, 3, 5, outcomes);
     assert_eq!(failing.contains(&0), is_failing, "{failing:?}");
 }
 
@@ -246,8 +246,8 @@
 fn a_digest_of_other_back_ends_is_ignored() {
     let mut leader = leader();
     let newest = watch(&mut leader, "a", Vec::new(), Vec::new()).expect("a digest");
-    let others = BackendListHash::of(ids().iter().skip(1));
-    assert_eq!(newest.digest.states(others), None);
+    let other_list = BackendListHash::of(ids().iter().skip(1));
+    assert_eq!(newest.digest.states(other_list), None);
 }
 
 #[test]
