--- a/bin/garnet-gateway/src/callers.rs
+++ b/bin/garnet-gateway/src/callers.rs
@@ -3,7 +3,7 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-use garnet_engine_api::event;
+use garnet_engine_api::encode_event;
 use garnet_gateway::{Answer, Call, Event, Work, openai};
 use garnet_runtime::metrics::{self, Sample};
 use garnet_runtime::server::{BodyError, channel_body, read_body, set_header, with_type};
@@ -60,7 +60,7 @@
             take(callers, request, Interface::Application).await
         }
         _ => {
-            let refusal = Refusal::rejected(OutcomeCode::NotFound, "unknown path");
+            let refusal = Refusal::permanent(OutcomeCode::NotFound, "unknown path");
             refusal_response(callers.next_id(), &refusal)
         }
     }
@@ -115,7 +115,7 @@
     let (service, rest) = path.split_once('/').unwrap_or((path, ""));
     if service.is_empty() {
         let message = "the path must be /services/{service}/{path}";
-        return Err(Refusal::rejected(OutcomeCode::Invalid, message));
+        return Err(Refusal::permanent(OutcomeCode::Invalid, message));
     }
     let query = head.uri.query().map(|query| format!("?{query}"));
     let path = format!("/{rest}{}", query.unwrap_or_default());
@@ -146,7 +146,7 @@
         BodyError::CutOff => "the body ended before it was whole",
         BodyError::TooSlow => "the body came too slowly",
     };
-    Refusal::rejected(OutcomeCode::Invalid, message)
+    Refusal::permanent(OutcomeCode::Invalid, message)
 }
 
 // ---- Running a call ----
@@ -219,7 +219,7 @@
 /// Sends one message of a stream. `false` when the caller has left.
 async fn send_message(call: &Call, message: CallerMessage, chunks: &Sender<Bytes>) -> bool {
     let mut bytes = Vec::new();
-    let mut add = |data: &str| bytes.extend_from_slice(&event(data));
+    let mut add = |data: &str| bytes.extend_from_slice(&encode_event(data));
     match message {
         CallerMessage::Tokens(tokens) => {
             add(&openai::chunk_body(call, &tokens.concat()).to_string());
--- a/components/control/src/configuration.rs
+++ b/components/control/src/configuration.rs
@@ -8,7 +8,7 @@
 use garnet_routes::RouteTable;
 use garnet_types::{
     BackendId, BackendKind, EngineAssignment, Fence, MachineState, Millis, ModelId, ServiceId,
-    SessionId, TenantId, UNTOLD_START,
+    SessionId, TenantId, UNKNOWN_START,
 };
 use serde::{Deserialize, Serialize};
 
@@ -49,7 +49,7 @@
     pub address: String,
     /// Zone that it runs in.
     pub zone: String,
-    /// Identifies the start of an application's process, or [`UNTOLD_START`]. The start of
+    /// Identifies the start of an application's process, or [`UNKNOWN_START`]. The start of
     /// an engine is part of its [`EngineObservation`].
     pub start: u64,
 }
@@ -59,7 +59,7 @@
     /// machine list may omit the start.
     pub(crate) fn with_known_start(&self, previous: &BackendRegistration) -> BackendRegistration {
         let start = match self.start {
-            UNTOLD_START => previous.start,
+            UNKNOWN_START => previous.start,
             known => known,
         };
         BackendRegistration {
@@ -72,7 +72,7 @@
 /// Observed state of an engine.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineObservation {
-    /// Identifies the start of the engine's process, or [`UNTOLD_START`].
+    /// Identifies the start of the engine's process, or [`UNKNOWN_START`].
     pub incarnation: u64,
     /// Role and model of the engine.
     pub assignment: EngineAssignment,
@@ -83,7 +83,7 @@
     /// lost its KV cache and its state.
     pub fn is_restart_of(&self, previous: &EngineObservation) -> bool {
         let starts = [self.incarnation, previous.incarnation];
-        !starts.contains(&UNTOLD_START) && self.incarnation != previous.incarnation
+        !starts.contains(&UNKNOWN_START) && self.incarnation != previous.incarnation
     }
 
     /// This observation, with the start of `previous` if it has none: some of the sources
@@ -93,7 +93,7 @@
         previous: Option<&EngineObservation>,
     ) -> EngineObservation {
         let start = match self.incarnation {
-            UNTOLD_START => previous.map_or(UNTOLD_START, |previous| previous.incarnation),
+            UNKNOWN_START => previous.map_or(UNKNOWN_START, |previous| previous.incarnation),
             known => known,
         };
         EngineObservation {
@@ -146,7 +146,7 @@
         ready && self.machine == MachineState::Live
     }
 
-    /// Start of the back end, or [`UNTOLD_START`].
+    /// Start of the back end, or [`UNKNOWN_START`].
     pub fn start(&self) -> u64 {
         let observed = self.observed.as_ref();
         observed.map_or(self.registration.start, |observed| observed.incarnation)
--- a/components/forwarding-shell/src/gateway.rs
+++ b/components/forwarding-shell/src/gateway.rs
@@ -1,4 +1,4 @@
-//! What all requests of the process share.
+//! State that all requests of the process share.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -6,28 +6,28 @@
 
 use garnet_forwarding::{Forwarder, UsageMeter};
 use garnet_routes::CallerLimits;
-use garnet_runtime::{Clock, ConnectionPool, ConnectionTimes, Shared, Timers};
+use garnet_runtime::{Clock, ConnectionPool, ConnectionTimeouts, Shared, Timers};
 use garnet_types::{Millis, TenantId};
 use smol::LocalExecutor;
 
 use crate::connection_queue::ConnectionQueue;
 use crate::metrics::GatewayMetrics;
-use crate::permits::PermitDesk;
+use crate::permits::PermitClient;
 use crate::ports::{BackendPort, CallerPort};
-use crate::unknown_names::UnknownNames;
+use crate::unknown_headers::UnknownHeaders;
 
-/// Time in which a group that starts together with its gateways elects a
-/// leader, which then sends them the configuration.
+/// Expected time until a gateway has its configuration, when the control group starts
+/// together with its gateways: the group elects a leader, which then sends it.
 const TIME_TO_CONFIGURATION: Millis = Millis(900);
-/// Shortest wait that callers are told.
-const SHORTEST_WAIT: Millis = Millis(250);
+/// Shortest Retry-After of requests that come before the configuration.
+const MIN_CONFIGURATION_WAIT: Millis = Millis(250);
 
-/// The process.
+/// The state of a gateway process.
 pub(crate) struct Gateway<C, B> {
     pub(crate) callers: C,
     pub(crate) backends: B,
     pub(crate) forwarder: RefCell<Forwarder>,
-    /// Counts what begins to run, where usage is told.
+    /// Counts requests that begin to run; `None` if usage is not reported.
     pub(crate) usage: Option<RefCell<UsageMeter>>,
     pub(crate) pool: ConnectionPool,
     pub(crate) executor: Rc<LocalExecutor<'static>>,
@@ -35,27 +35,27 @@
     pub(crate) timers: Timers,
     pub(crate) started_at: Millis,
     pub(crate) metrics: GatewayMetrics,
-    pub(crate) permits: PermitDesk,
+    pub(crate) permits: PermitClient,
     /// Requests that wait for a connection to a back end.
     pub(crate) connections: ConnectionQueue,
-    /// Unknown header names in answers of back ends.
-    pub(crate) unknown_names: UnknownNames,
-    /// Bounds on the time of callers' connections, by the route table in force.
-    pub(crate) connection_times: Shared<ConnectionTimes>,
-    /// Since when the route table in force has been so.
+    /// Unknown headers in answers of back ends.
+    pub(crate) unknown_headers: UnknownHeaders,
+    /// Timeouts of callers' connections, from the route table in force.
+    pub(crate) connection_times: Shared<ConnectionTimeouts>,
+    /// When the route table in force took effect.
     pub(crate) routes_since: Cell<Millis>,
-    /// Set by a planned stop, with the end of its grace time: callers are asked
-    /// to leave.
-    pub(crate) gone_by: Cell<Option<Millis>>,
-    /// Requests without their final answer.
+    /// End of the grace time of a planned stop, once one has begun. Answers then ask
+    /// callers to close their connections.
+    pub(crate) stop_deadline: Cell<Option<Millis>>,
+    /// Number of requests without their final answer.
     pub(crate) open_requests: Rc<Cell<usize>>,
 }
 
-/// Bounds on the time of a caller's connection.
-pub(crate) fn connection_times(limits: CallerLimits) -> ConnectionTimes {
-    ConnectionTimes {
+/// Timeouts of callers' connections under these limits.
+pub(crate) fn connection_times(limits: CallerLimits) -> ConnectionTimeouts {
+    ConnectionTimeouts {
         head: Duration::from_millis(limits.head_timeout_ms.0),
-        rest: Duration::from_millis(limits.idle_timeout_ms.0),
+        idle: Duration::from_millis(limits.idle_timeout_ms.0),
     }
 }
 
@@ -64,26 +64,25 @@
         self.clock.now()
     }
 
-    /// When a gateway that has just started will probably have its
-    /// configuration.
+    /// Estimated time until a gateway that has just started has its configuration.
     pub(crate) fn expected_configuration(&self, now: Millis) -> Millis {
         let running_for = now.since(self.started_at);
-        (TIME_TO_CONFIGURATION - running_for).max(SHORTEST_WAIT)
+        (TIME_TO_CONFIGURATION - running_for).max(MIN_CONFIGURATION_WAIT)
     }
 
-    /// A request began to run at `began`.
+    /// Counts a request of the tenant that began to run at `began`.
     pub(crate) fn note_begun(&self, tenant: Option<&TenantId>, began: Millis) {
         if let (Some(usage), Some(tenant)) = (&self.usage, tenant) {
             usage.borrow_mut().note(tenant, began);
         }
     }
 
-    /// Whether a planned stop is under way.
+    /// Whether a planned stop has begun.
     pub(crate) fn is_stopping(&self) -> bool {
-        self.gone_by.get().is_some()
+        self.stop_deadline.get().is_some()
     }
 
-    /// Whether new callers may come.
+    /// Whether the gateway is ready for new callers.
     pub(crate) fn is_ready(&self) -> bool {
         !self.is_stopping() && self.forwarder.borrow().routes_version().is_some()
     }
--- a/components/forwarding-shell/src/watch.rs
+++ b/components/forwarding-shell/src/watch.rs
@@ -10,43 +10,44 @@
     UsageReceipt, WatchUpdate, usage_interval,
 };
 use garnet_forwarding::Forwarder;
-use garnet_runtime::control_link::ControlLinkOwner;
+use garnet_runtime::control_link::ControlLinkHandler;
 use garnet_supervisor::{ChildError, ChildSpec, Restart, StopSignal};
 use garnet_types::{EncodingVersion, GatewayId, Millis};
 use smol::Timer;
 use smol::channel::{Receiver, Sender};
 
 use crate::gateway::{Gateway, connection_times};
-use crate::permits::{send_limit_reports, take_permit};
+use crate::permits::{handle_permit_answer, send_limit_reports};
 use crate::ports::{BackendPort, CallerPort};
 use crate::start::Replicas;
 
-/// How often the leader is asked: the more gateways there are, the less often
-/// each one asks, within bounds. Measured with eight gateways: asking each 32 ms
-/// serves more in time than each 120 ms, 24 ms hardly more.
+/// The interval between watch requests is this times the number of gateways, within the
+/// bounds below, since the leader answers all gateways. With eight gateways, an interval of
+/// 32 ms serves more requests in time than 120 ms, and 24 ms hardly more.
 const INTERVAL_PER_GATEWAY_MS: u64 = 4;
-const SHORTEST_INTERVAL_MS: u64 = 30;
-const LONGEST_INTERVAL_MS: u64 = 250;
-/// How often idle connections are looked at, in watches.
-const SWEEP_EVERY: u32 = 6;
+const MIN_INTERVAL_MS: u64 = 30;
+const MAX_INTERVAL_MS: u64 = 250;
+/// Number of watch requests between two sweeps of idle connections.
+const WATCHES_PER_SWEEP: u32 = 6;
 
-/// How often a gateway looks whether there is usage to tell.
-const USAGE_LOOK: Duration = Duration::from_millis(50);
-/// How often the leader's time is asked for where there is nothing to tell.
-const TIME_INTERVAL: Millis = Millis::from_secs(2);
+/// How often a gateway checks whether there is usage to report.
+const USAGE_CHECK_INTERVAL: Duration = Duration::from_millis(50);
+/// How often the leader's time is requested while there is no usage to report.
+const TIME_REQUEST_INTERVAL: Millis = Millis::from_secs(2);
 
-/// The watch of one gateway.
+/// A gateway's watch on the leader's configuration.
 pub(crate) struct Watch<C, B> {
     gateway: Rc<Gateway<C, B>>,
     id: GatewayId,
     replicas: Replicas,
     group: RefCell<Vec<String>>,
     group_index: Cell<u64>,
-    heard_at: Cell<Millis>,
+    received_at: Cell<Millis>,
     requests: Sender<GatewayRequest>,
-    usage_told_at: Cell<Millis>,
-    /// Questions that were queued before a connection broke are stale.
-    queued: Receiver<GatewayRequest>,
+    usage_reported_at: Cell<Millis>,
+    /// Receiving end of `requests`, used to discard those that were queued for a previous
+    /// connection.
+    pending_requests: Receiver<GatewayRequest>,
 }
 
 impl<C: CallerPort, B: BackendPort> Watch<C, B> {
@@ -55,35 +56,35 @@
         id: GatewayId,
         replicas: Replicas,
         requests: Sender<GatewayRequest>,
-        queued: Receiver<GatewayRequest>,
+        pending_requests: Receiver<GatewayRequest>,
     ) -> Self {
         Watch {
-            heard_at: Cell::new(gateway.started_at),
+            received_at: Cell::new(gateway.started_at),
             gateway,
             id,
             replicas,
             group: RefCell::default(),
             group_index: Cell::new(u64::MAX),
             requests,
-            usage_told_at: Cell::new(Millis::ZERO),
-            queued,
+            usage_reported_at: Cell::new(Millis::ZERO),
+            pending_requests,
         }
     }
 
-    /// Time since the leader was heard.
+    /// Time since the leader's last answer.
     pub(crate) fn age(&self) -> Millis {
-        self.gateway.now().since(self.heard_at.get())
+        self.gateway.now().since(self.received_at.get())
     }
 
-    /// Time until the leader is asked again. The work of the other gateways is
-    /// the older the longer it is; the leader has all of them to answer.
+    /// Time until the next watch request. A longer interval means older load reports of
+    /// peer gateways; a shorter one means more requests for the leader to answer.
     fn interval(&self) -> Duration {
         let gateways = self.gateway.forwarder.borrow().gateways();
         let interval = gateways.saturating_mul(INTERVAL_PER_GATEWAY_MS);
-        Duration::from_millis(interval.clamp(SHORTEST_INTERVAL_MS, LONGEST_INTERVAL_MS))
+        Duration::from_millis(interval.clamp(MIN_INTERVAL_MS, MAX_INTERVAL_MS))
     }
 
-    fn ask(&self) {
+    fn request_update(&self) {
         let now = self.gateway.now();
         self.gateway.forwarder.borrow_mut().forget_unconfirmed(now);
         let report = self.gateway.forwarder.borrow_mut().report(now);
@@ -97,59 +98,59 @@
             evidence: report.evidence,
             copies: report.copies,
         };
-        // What is lost is asked again.
+        // A lost request is repeated by the next watch.
         let _lost = self.requests.try_send(request);
-        self.tell_runs(now);
+        self.report_runs(now);
         send_limit_reports(&self.gateway);
     }
 
-    /// Tells the leader of runs that ended with their engine.
-    fn tell_runs(&self, now: Millis) {
+    /// Reports to the leader the runs during which an engine crashed.
+    fn report_runs(&self, now: Millis) {
         let report = self.gateway.forwarder.borrow_mut().run_report(now);
         if let Some(report) = report {
-            // What is lost is told again.
+            // A lost report is sent again.
             let _lost = self.requests.try_send(GatewayRequest::Runs(report));
         }
     }
 
-    /// Reports usage where there is any, and else asks for the time now and
-    /// then.
-    fn tell_usage(&self) {
+    /// Reports usage if there is any; otherwise requests the leader's time at longer
+    /// intervals.
+    fn report_usage(&self) {
         let Some(usage) = &self.gateway.usage else {
             return;
         };
         let now = self.gateway.now();
-        let rested = now.since(self.usage_told_at.get());
+        let elapsed = now.since(self.usage_reported_at.get());
         let mut usage = usage.borrow_mut();
-        let rest = if usage.has_unlogged() {
+        let min_interval = if usage.has_unlogged() {
             usage_interval(self.gateway.forwarder.borrow().gateways())
         } else {
-            TIME_INTERVAL
+            TIME_REQUEST_INTERVAL
         };
-        if rested < rest {
+        if elapsed < min_interval {
             return;
         }
-        self.usage_told_at.set(now);
-        // What is lost is told again.
+        self.usage_reported_at.set(now);
+        // A lost report is sent again.
         let _lost = self
             .requests
             .try_send(GatewayRequest::Usage(usage.report()));
     }
 
-    fn hear_receipt(&self, receipt: &UsageReceipt) {
+    fn on_usage_receipt(&self, receipt: &UsageReceipt) {
         let Some(usage) = &self.gateway.usage else {
             return;
         };
-        let lost = usage.borrow_mut().take(receipt, self.gateway.now());
+        let lost = usage.borrow_mut().on_receipt(receipt, self.gateway.now());
         if lost > 0 {
             self.gateway.metrics.lost_usage(lost);
             log::warn!(requests = lost; "usage_lost");
         }
     }
 
-    fn hear(&self, reply: ControlReply) {
+    fn on_reply(&self, reply: ControlReply) {
         if let ControlReply::Usage(receipt) = &reply {
-            self.hear_receipt(receipt);
+            self.on_usage_receipt(receipt);
             return;
         }
         if let ControlReply::RunsNoted { through } = reply {
@@ -157,9 +158,9 @@
             return;
         }
         let reply = match reply {
-            ControlReply::Part(part) => return self.hear_part(part),
-            ControlReply::Limits(told) => return self.take_limits(&told),
-            ControlReply::Permit(answer) => return take_permit(&self.gateway, &answer),
+            ControlReply::Part(part) => return self.on_part(part),
+            ControlReply::Limits(limit_update) => return self.take_limits(&limit_update),
+            ControlReply::Permit(answer) => return handle_permit_answer(&self.gateway, &answer),
             reply => reply,
         };
         let ControlReply::Watch {
@@ -174,14 +175,14 @@
         else {
             return;
         };
-        self.heard_at.set(self.gateway.now());
-        self.gateway.permits.heard_leader(self.gateway.now());
+        self.received_at.set(self.gateway.now());
+        self.gateway.permits.on_leader_answer(self.gateway.now());
         if let Some(group) = group {
             self.group_index.set(group.index);
             *self.group.borrow_mut() = group.addresses;
         }
         let mut forwarder = self.gateway.forwarder.borrow_mut();
-        let before = InForce::of(&forwarder);
+        let before = ActiveConfiguration::of(&forwarder);
         let part = match update {
             WatchUpdate::Parts { index } => forwarder.on_parts_offered(index, self.gateway.now()),
             update => {
@@ -199,56 +200,61 @@
             forwarder.take_suspects(suspects);
         }
         drop(forwarder);
-        self.ask_for_part(part);
-        self.note_change(before);
+        self.request_part(part);
+        self.on_configuration_change(before);
     }
 
-    fn take_limits(&self, told: &LimitUpdate) {
+    fn take_limits(&self, limit_update: &LimitUpdate) {
         let now = self.gateway.now();
-        let over = self.gateway.forwarder.borrow_mut().take_limits(told, now);
-        for backend in over {
+        let unlimited = self
+            .gateway
+            .forwarder
+            .borrow_mut()
+            .take_limits(limit_update, now);
+        for backend in unlimited {
             log::info!(backend = backend.as_str(); "limit_over");
         }
     }
 
-    fn hear_part(&self, part: Option<ConfigurationPart>) {
-        // One that is not to be had any more is offered under another index.
+    fn on_part(&self, part: Option<ConfigurationPart>) {
+        // If a part is no longer available, a newer configuration is offered under another
+        // index.
         let Some(part) = part else {
             return;
         };
         let now = self.gateway.now();
         let mut forwarder = self.gateway.forwarder.borrow_mut();
-        let before = InForce::of(&forwarder);
+        let before = ActiveConfiguration::of(&forwarder);
         let next = forwarder.take_configuration_part(part, now);
-        let is_whole = InForce::of(&forwarder) != before;
+        let is_complete = ActiveConfiguration::of(&forwarder) != before;
         drop(forwarder);
-        self.ask_for_part(next);
-        if is_whole {
-            self.note_change(before);
-            // What has changed since comes with the next answer.
-            self.ask();
+        self.request_part(next);
+        if is_complete {
+            self.on_configuration_change(before);
+            // Changes made since then come with the next answer.
+            self.request_update();
         }
     }
 
-    fn ask_for_part(&self, place: Option<PartRequest>) {
-        if let Some(place) = place {
-            // What is lost is offered again.
-            let _lost = self.requests.try_send(GatewayRequest::Part(place));
+    fn request_part(&self, part_request: Option<PartRequest>) {
+        if let Some(part_request) = part_request {
+            // If this request is lost, the parts are offered again.
+            let _lost = self.requests.try_send(GatewayRequest::Part(part_request));
         }
     }
 
-    fn hear_last_known(&self, configuration: Arc<Configuration>) {
+    fn on_last_known(&self, configuration: Arc<Configuration>) {
         let mut forwarder = self.gateway.forwarder.borrow_mut();
-        let before = InForce::of(&forwarder);
+        let before = ActiveConfiguration::of(&forwarder);
         forwarder.take_unconfirmed(configuration, self.gateway.now());
         drop(forwarder);
-        self.note_change(before);
+        self.on_configuration_change(before);
     }
 
-    /// What follows where another configuration is in force than `before`.
-    fn note_change(&self, before: InForce) {
+    /// Applies and logs a configuration that differs from the one in force `before`.
+    fn on_configuration_change(&self, before: ActiveConfiguration) {
         let forwarder = self.gateway.forwarder.borrow();
-        let after = InForce::of(&forwarder);
+        let after = ActiveConfiguration::of(&forwarder);
         if before == after {
             return;
         }
@@ -258,9 +264,9 @@
         let times = connection_times(forwarder.limits());
         self.gateway.connection_times.replace(times);
         let (open, known) = forwarder.open_backends(self.gateway.now());
-        // Orders to engines raise the index again and again; hundreds of
-        // gateways need not tell that.
-        let level = if before.is_alike(&after) {
+        // Orders to engines raise the index often; hundreds of gateways should not each
+        // log that at info level.
+        let level = if before.differs_only_in_index(&after) {
             log::Level::Debug
         } else {
             log::Level::Info
@@ -278,24 +284,24 @@
     }
 }
 
-/// Which configuration a gateway works by.
+/// Identifies the configuration that is in force at a gateway.
 #[derive(PartialEq, Eq)]
-struct InForce {
+struct ActiveConfiguration {
     routes_version: Option<u64>,
     index: u64,
     is_confirmed: bool,
     known_backends: usize,
 }
 
-impl InForce {
-    /// Whether both differ in the index only.
-    fn is_alike(&self, other: &Self) -> bool {
+impl ActiveConfiguration {
+    /// Whether the two differ in nothing but the index.
+    fn differs_only_in_index(&self, other: &Self) -> bool {
         let index = self.index;
-        InForce { index, ..*other } == *self
+        ActiveConfiguration { index, ..*other } == *self
     }
 
     fn of(forwarder: &Forwarder) -> Self {
-        InForce {
+        ActiveConfiguration {
             routes_version: forwarder.routes_version(),
             index: forwarder.configuration_index(),
             is_confirmed: forwarder.is_confirmed(),
@@ -304,7 +310,7 @@
     }
 }
 
-/// The owner of the link to the leader.
+/// Handles the events of the connection to the leader.
 pub(crate) struct WatchOwner<C, B>(pub(crate) Rc<Watch<C, B>>);
 
 impl<C, B> Clone for WatchOwner<C, B> {
@@ -313,7 +319,7 @@
     }
 }
 
-impl<C: CallerPort + 'static, B: BackendPort + 'static> ControlLinkOwner for WatchOwner<C, B> {
+impl<C: CallerPort + 'static, B: BackendPort + 'static> ControlLinkHandler for WatchOwner<C, B> {
     fn replicas(&self) -> Vec<String> {
         let mut known = self.0.group.borrow().clone();
         for address in self.0.replicas.current() {
@@ -324,64 +330,64 @@
         known
     }
 
-    fn connected(&self, version: EncodingVersion) {
-        while self.0.queued.try_recv().is_ok() {}
+    fn on_connected(&self, version: EncodingVersion) {
+        while self.0.pending_requests.try_recv().is_ok() {}
         let mut forwarder = self.0.gateway.forwarder.borrow_mut();
         forwarder.connected(version);
         drop(forwarder);
-        self.0.ask();
+        self.0.request_update();
     }
 
-    fn heard(&self, reply: ControlReply) {
-        self.0.hear(reply);
+    fn on_reply(&self, reply: ControlReply) {
+        self.0.on_reply(reply);
     }
 
-    fn heard_last_known(&self, configuration: Arc<Configuration>) {
-        self.0.hear_last_known(configuration);
+    fn on_last_known(&self, configuration: Arc<Configuration>) {
+        self.0.on_last_known(configuration);
     }
 }
 
-/// A child that asks the leader again and again.
+/// A child that sends watch requests to the leader at intervals.
 pub(crate) fn ticker<C: CallerPort + 'static, B: BackendPort + 'static>(
     watch: Rc<Watch<C, B>>,
 ) -> ChildSpec {
     ChildSpec::new("watch", Restart::Permanent, move |stop: StopSignal| {
         let watch = Rc::clone(&watch);
         async move {
-            let asking = async {
-                let mut round: u32 = 0;
+            let watching = async {
+                let mut watches: u32 = 0;
                 loop {
                     Timer::after(watch.interval()).await;
-                    if let Some(suspended) = watch.gateway.timers.look() {
+                    if let Some(suspended) = watch.gateway.timers.check_suspension() {
                         log::warn!(for_ms = suspended.as_millis() as u64; "was_suspended");
                     }
-                    watch.ask();
-                    round = round.wrapping_add(1);
-                    if round.is_multiple_of(SWEEP_EVERY) {
-                        watch.gateway.pool.sweep();
+                    watch.request_update();
+                    watches = watches.wrapping_add(1);
+                    if watches.is_multiple_of(WATCHES_PER_SWEEP) {
+                        watch.gateway.pool.close_expired();
                     }
                 }
             };
-            smol::future::or(asking, stop.stopped()).await;
+            smol::future::or(watching, stop.stopped()).await;
             Ok::<(), ChildError>(())
         }
     })
 }
 
-/// A child that tells usage, where it is counted.
+/// A child that reports usage, for gateways that count it.
 pub(crate) fn usage_ticker<C: CallerPort + 'static, B: BackendPort + 'static>(
     watch: Rc<Watch<C, B>>,
 ) -> ChildSpec {
     ChildSpec::new("usage", Restart::Permanent, move |stop: StopSignal| {
         let watch = Rc::clone(&watch);
         async move {
-            let telling = async {
+            let reporting = async {
                 loop {
-                    Timer::after(USAGE_LOOK).await;
-                    watch.tell_usage();
+                    Timer::after(USAGE_CHECK_INTERVAL).await;
+                    watch.report_usage();
                 }
             };
-            smol::future::or(telling, stop.stopped()).await;
+            smol::future::or(reporting, stop.stopped()).await;
             Ok::<(), ChildError>(())
         }
     })
--- a/components/forwarding/src/backends.rs
+++ b/components/forwarding/src/backends.rs
@@ -1,6 +1,6 @@
 //! A gateway's estimate of the state of one back end.
 
-use garnet_control::{BackendRecord, BackendRegistration, Backlog, PriorityCounts, UNTOLD_START};
+use garnet_control::{BackendRecord, BackendRegistration, Backlog, PriorityCounts, UNKNOWN_START};
 use garnet_routing::{Availability, CircuitBreaker};
 use garnet_types::{BackendId, BackendKind, EngineRole, Millis};
 
@@ -61,13 +61,15 @@
         self.own_uncached.total() + self.peers.uncached(now).total()
     }
 
-    /// Of these, tokens that are prefilled before a new request of this engine priority.
+    /// Estimated uncached tokens that are prefilled before a new request of this engine
+    /// priority.
     pub fn tokens_ahead_of(&self, engine_priority: u8, now: Millis) -> u64 {
         self.own_uncached.ahead_of(engine_priority)
             + self.peers.uncached(now).ahead_of(engine_priority)
     }
 
-    /// Of these, tokens of peer gateways' requests, as the leader reported them.
+    /// The tokens of [`Self::tokens_ahead_of`] that belong to peer gateways' requests, as
+    /// the leader reported them.
     pub(crate) fn peer_tokens_ahead_of(&self, engine_priority: u8, now: Millis) -> u64 {
         self.peers.uncached(now).ahead_of(engine_priority)
     }
@@ -187,7 +189,7 @@
     pub fn new(record: &BackendRecord) -> Self {
         let mut backend = Backend {
             registration: record.registration.clone(),
-            start: UNTOLD_START,
+            start: UNKNOWN_START,
             role: None,
             takes_work: false,
             gone: false,
@@ -204,7 +206,7 @@
     }
 
     /// Applies a newer record. Returns `true` if it belongs to another start of the
-    /// back end, whose caches and state are empty; own requests in flight at the former
+    /// back end, whose caches and state are empty; own requests in flight at the previous
     /// start end by themselves.
     pub fn update(&mut self, record: &BackendRecord) -> bool {
         self.registration = record.registration.clone();
@@ -216,7 +218,7 @@
         let new_start = record.start();
         let before = std::mem::replace(&mut self.start, new_start);
         let has_restarted =
-            before != new_start && before != UNTOLD_START && new_start != UNTOLD_START;
+            before != new_start && before != UNKNOWN_START && new_start != UNKNOWN_START;
         if has_restarted {
             self.gone = false;
             self.breaker = CircuitBreaker::default();
@@ -248,7 +250,7 @@
         self.role.is_some_and(EngineRole::generates)
     }
 
-    /// Whether the fleet reports it as failing and another gateway probes it.
+    /// Whether the leader reports it as failing and another gateway probes it.
     fn is_failing(&self, now: Millis) -> bool {
         let is_recent = |at: Millis| now.since(at) <= FAILING_LIFETIME;
         !self.may_probe && self.failing_at.is_some_and(is_recent)
--- a/components/routes/src/table.rs
+++ b/components/routes/src/table.rs
@@ -110,7 +110,7 @@
 impl EngineLimits {
     /// Requests like those under way, which hold so many tokens together, that
     /// an engine takes at once: by its slots or by its memory.
-    pub fn places(&self, requests: u64, held_tokens: u64) -> f64 {
+    pub fn effective_slots(&self, requests: u64, held_tokens: u64) -> f64 {
         let request_tokens = held_tokens as f64 / requests.max(1) as f64;
         let by_memory = self.cache_tokens as f64 / request_tokens.max(1.0);
         by_memory.min(self.slots as f64)
@@ -127,8 +127,8 @@
 
 impl PriceMilli {
     /// The price nearest to this part of the usual one; a negative one is none.
-    pub fn of_part(part: f64) -> Self {
-        PriceMilli((part * 1000.0).round() as u32)
+    pub fn from_fraction(fraction: f64) -> Self {
+        PriceMilli((fraction * 1000.0).round() as u32)
     }
 
     /// As a part of the usual price.
@@ -140,7 +140,7 @@
 /// On which terms engines of a service are bought and given back.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct BuyingTerms {
+pub struct ScalingSettings {
     /// Fewest engines of a zone, of all kinds together.
     pub least_in_zone: u32,
     /// Most engines of a zone, of all kinds together.
@@ -169,7 +169,7 @@
     pub engine: Option<EngineLimits>,
     /// How its engines are bought; `None` leaves the fleet as it is.
     #[serde(default)]
-    pub buying: Option<BuyingTerms>,
+    pub buying: Option<ScalingSettings>,
 }
 
 /// Bounds on what callers may send.
@@ -218,7 +218,7 @@
 impl RouteTable {
     /// Connections that one back end of a service takes from all gateways together, where
     /// the table has the service.
-    pub fn connection_bound(&self, service: &ServiceId) -> Option<u64> {
+    pub fn connection_limit(&self, service: &ServiceId) -> Option<u64> {
         let settings = self.services.iter().find(|s| s.name == *service)?;
         Some(settings.max_connections)
     }
--- a/components/runtime/src/pool.rs
+++ b/components/runtime/src/pool.rs
@@ -1,9 +1,9 @@
-//! Kept connections to back ends, each used for one request at a time.
+//! Connection pool for requests to back ends, one request at a time per connection.
 //!
-//! Contract: a connection is used again only when the answer before was read
-//! to its proper end and nothing came after it. An [`Exchange`] that is
-//! dropped before its end closes its connection, which cancels the work at
-//! the other end. Errors say whether any byte can have reached it.
+//! Contract: a connection is reused only when the previous answer was read to
+//! its end and nothing followed it. An [`Exchange`] that is dropped before the
+//! end of its answer closes the connection, which cancels the request at the
+//! server. Errors tell whether any byte can have reached the server.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -22,32 +22,32 @@
 
 use crate::client::HttpError;
 use crate::clock::Clock;
-use crate::sockets::{connect_in_time, end_when_silent};
+use crate::sockets::{connect_with_timeout, set_silence_timeouts};
 
-/// Header by which the other end tells how long it keeps an idle connection.
+/// Header in which the server announces its idle timeout.
 const KEEP_ALIVE: &str = "keep-alive";
-/// An idle connection is left this much before the other end would close it.
+/// An idle connection is closed this long before the server would close it.
 const IDLE_MARGIN: Duration = Duration::from_millis(700);
 
-/// How connections are made and kept.
+/// Timeouts and limits of a connection pool.
 #[derive(Debug, Clone, Copy)]
 pub struct PoolSettings {
-    /// Longest time to connect.
-    pub connect_time: Duration,
-    /// A connection whose bytes are not acknowledged for so long is over.
-    pub silence: Duration,
-    /// How long an idle connection is kept where the other end tells nothing.
-    pub idle_time: Duration,
-    /// Idle connections kept for one address.
+    /// Timeout of a connection attempt.
+    pub connect_timeout: Duration,
+    /// A connection ends when its bytes are not acknowledged for this time.
+    pub ack_timeout: Duration,
+    /// Idle timeout of connections whose server announces none.
+    pub idle_timeout: Duration,
+    /// Maximum count of idle connections to one address.
     pub idle_per_address: usize,
 }
 
 impl Default for PoolSettings {
     fn default() -> Self {
         PoolSettings {
-            connect_time: Duration::from_millis(150),
-            silence: Duration::from_millis(1200),
-            idle_time: Duration::from_secs(4),
+            connect_timeout: Duration::from_millis(150),
+            ack_timeout: Duration::from_millis(1200),
+            idle_timeout: Duration::from_secs(4),
             idle_per_address: 64,
         }
     }
@@ -60,37 +60,38 @@
     until: Millis,
 }
 
-/// Connections to any number of addresses.
+/// A pool of connections to any number of addresses.
 #[derive(Clone)]
 pub struct ConnectionPool {
     executor: Rc<LocalExecutor<'static>>,
     settings: PoolSettings,
-    /// The other end closes idle connections while this machine is suspended.
+    /// A clock that counts suspensions of this machine, as servers close idle
+    /// connections during them.
     clock: Clock,
     idle: Rc<RefCell<HashMap<String, Vec<Idle>>>>,
 }
 
-/// A request under way whose answer's head is there.
+/// A request whose answer has begun: its status and headers have arrived.
 pub struct Exchange {
-    /// Head of the answer.
+    /// Status and headers of the answer.
     pub head: Parts,
-    /// Whether the request went over a new connection.
+    /// Whether the request was sent on a new connection.
     pub fresh: bool,
     body: Incoming,
     sender: Sender,
     address: String,
-    /// Idle connections to the address that may be kept, with this one.
-    most_idle: usize,
+    /// Maximum count of idle connections to the address, including this one.
+    max_idle: usize,
     pool: ConnectionPool,
 }
 
 impl ConnectionPool {
-    /// A pool whose connections run on `executor`.
+    /// Creates a pool whose connections run on `executor`.
     pub fn new(executor: Rc<LocalExecutor<'static>>, settings: PoolSettings) -> Self {
         ConnectionPool::with_clock(executor, settings, Clock::default())
     }
 
-    /// The same with a clock by which idle connections grow old.
+    /// Creates a pool with a clock for the idle timeouts.
     pub fn with_clock(
         executor: Rc<LocalExecutor<'static>>,
         settings: PoolSettings,
@@ -104,31 +105,31 @@
         }
     }
 
-    /// Sends a request and waits for the head of its answer. A kept connection
-    /// that gives the request back unsent is left for the next one.
+    /// Sends a request and waits for the head of its answer. If an idle connection
+    /// fails before any of the request is sent, the next one is tried.
     ///
     /// # Errors
-    /// As [`HttpError`] says.
+    /// See [`HttpError`].
     pub async fn send(
         &self,
         address: &str,
         request: Request<Full<Bytes>>,
     ) -> Result<Exchange, HttpError> {
-        let most_idle = self.settings.idle_per_address;
-        self.send_if(address, request, most_idle, || true).await
+        let max_idle = self.settings.idle_per_address;
+        self.send_if(address, request, max_idle, || true).await
     }
 
-    /// Sends a request as [`Self::send`] does, if `may_send` holds once its connection is
-    /// there: a connection may take longer than what its sender knew stays true. At most
-    /// `most_idle` idle connections to the address are kept afterwards.
+    /// Sends a request like [`Self::send`], provided that `may_send` holds when the connection
+    /// is open, as the conditions may have changed while it was opened. At most `max_idle` idle
+    /// connections to the address are kept afterwards.
     ///
     /// # Errors
-    /// [`HttpError::Withheld`] where it does not hold, and as [`HttpError`] says.
+    /// [`HttpError::Withheld`] if `may_send` does not hold; see [`HttpError`] for the others.
     pub async fn send_if(
         &self,
         address: &str,
         mut request: Request<Full<Bytes>>,
-        most_idle: usize,
+        max_idle: usize,
         may_send: impl Fn() -> bool,
     ) -> Result<Exchange, HttpError> {
         while let Some(mut sender) = self.take_idle(address) {
@@ -136,30 +137,30 @@
                 continue;
             }
             if !may_send() {
-                self.keep(address, sender, self.settings.idle_time, most_idle);
+                self.keep(address, sender, self.settings.idle_timeout, max_idle);
                 return Err(HttpError::Withheld);
             }
             match sender.try_send_request(request).await {
                 Ok(response) => {
-                    return Ok(self.exchange(address, sender, response, false, most_idle));
+                    return Ok(self.exchange(address, sender, response, false, max_idle));
                 }
                 Err(mut error) => match error.take_message() {
-                    Some(unsent) => request = unsent,
+                    Some(not_sent) => request = not_sent,
                     None => return Err(HttpError::Broken(error.into_error().to_string())),
                 },
             }
         }
         let mut sender = self.connect(address).await?;
         if !may_send() {
-            self.keep(address, sender, self.settings.idle_time, most_idle);
+            self.keep(address, sender, self.settings.idle_timeout, max_idle);
             return Err(HttpError::Withheld);
         }
         match sender.try_send_request(request).await {
-            Ok(response) => Ok(self.exchange(address, sender, response, true, most_idle)),
+            Ok(response) => Ok(self.exchange(address, sender, response, true, max_idle)),
             Err(mut error) => {
-                let unsent = error.take_message().is_some();
+                let not_sent = error.take_message().is_some();
                 let cause = error.into_error().to_string();
-                Err(if unsent {
+                Err(if not_sent {
                     HttpError::NotSent(cause)
                 } else {
                     HttpError::Broken(cause)
@@ -168,19 +169,19 @@
         }
     }
 
-    /// Leaves all idle connections to an address.
-    pub fn forget(&self, address: &str) {
+    /// Closes all idle connections to an address.
+    pub fn close_idle(&self, address: &str) {
         self.idle.borrow_mut().remove(address);
     }
 
-    /// Leaves idle connections whose time is over.
-    pub fn sweep(&self) {
+    /// Closes the idle connections whose timeout has expired.
+    pub fn close_expired(&self) {
         let now = self.clock.now();
         let mut idle = self.idle.borrow_mut();
-        for kept in idle.values_mut() {
-            kept.retain(|idle| idle.until > now && !idle.sender.is_closed());
+        for connections in idle.values_mut() {
+            connections.retain(|idle| idle.until > now && !idle.sender.is_closed());
         }
-        idle.retain(|_, kept| !kept.is_empty());
+        idle.retain(|_, connections| !connections.is_empty());
     }
 
     fn exchange(
@@ -189,7 +190,7 @@
         sender: Sender,
         response: Response<Incoming>,
         fresh: bool,
-        most_idle: usize,
+        max_idle: usize,
     ) -> Exchange {
         let (head, body) = response.into_parts();
         Exchange {
@@ -198,23 +199,23 @@
             body,
             sender,
             address: address.to_owned(),
-            most_idle,
+            max_idle,
             pool: self.clone(),
         }
     }
 
     async fn connect(&self, address: &str) -> Result<Sender, HttpError> {
-        let unsent = |error: std::io::Error| HttpError::NotSent(error.to_string());
-        let connecting = connect_in_time(address, self.settings.connect_time);
-        let stream = connecting.await.map_err(unsent)?;
+        let not_sent = |error: std::io::Error| HttpError::NotSent(error.to_string());
+        let connecting = connect_with_timeout(address, self.settings.connect_timeout);
+        let stream = connecting.await.map_err(not_sent)?;
         let _unset = stream.set_nodelay(true);
-        end_when_silent(&stream, self.settings.silence);
+        set_silence_timeouts(&stream, self.settings.ack_timeout);
         let (sender, connection) = Builder::new()
             .handshake(FuturesIo::new(stream))
             .await
             .map_err(|error| HttpError::NotSent(error.to_string()))?;
         let drive = async move {
-            // Its faults reach the requests on it.
+            // Errors of the connection are returned by the requests on it.
             let _ended = connection.await;
         };
         self.executor.spawn(drive).detach();
@@ -224,8 +225,8 @@
     fn take_idle(&self, address: &str) -> Option<Sender> {
         let now = self.clock.now();
         let mut idle = self.idle.borrow_mut();
-        let kept = idle.get_mut(address)?;
-        while let Some(candidate) = kept.pop() {
+        let connections = idle.get_mut(address)?;
+        while let Some(candidate) = connections.pop() {
             if candidate.until > now && !candidate.sender.is_closed() {
                 return Some(candidate.sender);
             }
@@ -233,23 +234,23 @@
         None
     }
 
-    fn keep(&self, address: &str, sender: Sender, idle_time: Duration, most_idle: usize) {
+    fn keep(&self, address: &str, sender: Sender, idle_timeout: Duration, max_idle: usize) {
         let mut idle = self.idle.borrow_mut();
-        let kept = idle.entry(address.to_owned()).or_default();
-        let most_idle = most_idle.min(self.settings.idle_per_address);
-        kept.truncate(most_idle);
-        if kept.len() < most_idle && !sender.is_closed() {
-            let until = self.clock.now() + Millis(idle_time.as_millis() as u64);
-            kept.push(Idle { sender, until });
+        let connections = idle.entry(address.to_owned()).or_default();
+        let max_idle = max_idle.min(self.settings.idle_per_address);
+        connections.truncate(max_idle);
+        if connections.len() < max_idle && !sender.is_closed() {
+            let until = self.clock.now() + Millis(idle_timeout.as_millis() as u64);
+            connections.push(Idle { sender, until });
         }
     }
 }
 
 impl Exchange {
-    /// The next chunk of the body, `None` at its proper end.
+    /// Returns the next chunk of the body, or `None` after the last one.
     ///
     /// # Errors
-    /// When the connection ends before the body does.
+    /// When the connection ends before the body is complete.
     pub async fn next(&mut self) -> Result<Option<Bytes>, HttpError> {
         loop {
             match self.body.frame().await {
@@ -267,57 +268,57 @@
     /// Reads the whole body, up to `limit` bytes.
     ///
     /// # Errors
-    /// When it is longer, or the connection ends before it does.
+    /// When the body is longer, or the connection ends before it is complete.
     pub async fn read_whole(&mut self, limit: usize) -> Result<Bytes, HttpError> {
-        let mut whole = Vec::new();
+        let mut collected = Vec::new();
         while let Some(chunk) = self.next().await? {
-            if whole.len() + chunk.len() > limit {
+            if collected.len() + chunk.len() > limit {
                 return Err(HttpError::TooLong(limit));
             }
-            whole.extend_from_slice(&chunk);
+            collected.extend_from_slice(&chunk);
         }
-        Ok(Bytes::from(whole))
+        Ok(Bytes::from(collected))
     }
 
-    /// Whether the answer tells where it ends. One that doesn't ends with its
-    /// connection, also where its sender crashes.
-    pub fn tells_end(&self) -> bool {
+    /// Whether the headers define where the answer ends. Otherwise it ends with its
+    /// connection, and an answer cut short by a crash looks complete.
+    pub fn has_explicit_end(&self) -> bool {
         let headers = &self.head.headers;
         headers.contains_key(CONTENT_LENGTH) || headers.contains_key(TRANSFER_ENCODING)
     }
 
-    /// Gives the connection back after the body's proper end.
+    /// Returns the connection to the pool after the end of the body.
     pub fn finish(self) {
-        if says_close(&self.head.headers) {
+        if announces_close(&self.head.headers) {
             return;
         }
-        let told = idle_time(&self.head.headers);
-        let idle_time = told.unwrap_or(self.pool.settings.idle_time);
+        let announced = idle_timeout(&self.head.headers);
+        let idle_timeout = announced.unwrap_or(self.pool.settings.idle_timeout);
         let Exchange {
             pool,
             address,
             sender,
-            most_idle,
+            max_idle,
             ..
         } = self;
-        pool.keep(&address, sender, idle_time, most_idle);
+        pool.keep(&address, sender, idle_timeout, max_idle);
     }
 }
 
-/// Whether the other end closes the connection after this answer.
-fn says_close(headers: &HeaderMap) -> bool {
+/// Whether the server closes the connection after this answer.
+fn announces_close(headers: &HeaderMap) -> bool {
     let value = headers
         .get(CONNECTION)
         .and_then(|value| value.to_str().ok());
     value.is_some_and(|value| value.to_ascii_lowercase().contains("close"))
 }
 
-/// How long an idle connection may be used, as the other end tells it.
-fn idle_time(headers: &HeaderMap) -> Option<Duration> {
+/// How long an idle connection may be reused, as announced by the server.
+fn idle_timeout(headers: &HeaderMap) -> Option<Duration> {
     let value = headers.get(KEEP_ALIVE)?.to_str().ok()?;
-    let told = value
+    let announced = value
         .split(',')
-        .find_map(|part| part.trim().strip_prefix("timeout="))?;
-    let seconds: u64 = told.trim().parse().ok()?;
+        .find_map(|item| item.trim().strip_prefix("timeout="))?;
+    let seconds: u64 = announced.trim().parse().ok()?;
     Some(Duration::from_secs(seconds).saturating_sub(IDLE_MARGIN))
 }
