--- a/components/control/src/balancing.rs
+++ b/components/control/src/balancing.rs
@@ -256,12 +256,12 @@
         let engines = occupancy.engines();
         let unchanged_since = self.update_engine_count(engines, now);
         let newcomers = std::mem::take(&mut self.newcomers);
-        let prefill_engines = occupancy.prefill_engines;
+        let current_prefill = occupancy.prefill_engines;
         if self.loaded {
             let share = *self.share.get_or_insert(share_of(occupancy));
-            if let Some(role) = lacking_role(engines, share, prefill_engines, &newcomers) {
+            if let Some(role) = lacking_role(engines, share, current_prefill, &newcomers) {
                 let members = members();
-                let step = restore_share(&members, &newcomers, role, share, prefill_engines);
+                let step = restore_share(&members, &newcomers, role, share, current_prefill);
                 if step.is_some() {
                     return step;
                 }
@@ -292,14 +292,14 @@
         unchanged_since: Millis,
         now: Millis,
     ) -> Option<PoolStep> {
-        let prefill_engines = occupancy.prefill_engines;
+        let current_prefill = occupancy.prefill_engines;
         self.was_evaluated = true;
         let target = if self.loaded {
             self.prefill_target(occupancy, settings)
         } else {
-            initial_prefill_engines(occupancy.engines(), prefill_engines, settings)
+            initial_prefill_engines(occupancy.engines(), current_prefill, settings)
         };
-        let role = match target.cmp(&prefill_engines) {
+        let role = match target.cmp(&current_prefill) {
             Ordering::Equal => return None,
             Ordering::Greater => EngineRole::Prefill,
             Ordering::Less => EngineRole::Mixed,
@@ -313,7 +313,7 @@
         if self.is_too_early(role, limits.role_change_ms, settings, now) {
             return None;
         }
-        let engines = choose_engines(members(), role, target.abs_diff(prefill_engines));
+        let engines = choose_engines(members(), role, target.abs_diff(current_prefill));
         if engines.is_empty() {
             return None;
         }
@@ -434,17 +434,17 @@
 fn lacking_role(
     engines: usize,
     share: f64,
-    prefill_engines: usize,
+    current_prefill: usize,
     newcomers: &BTreeSet<BackendId>,
 ) -> Option<EngineRole> {
     if newcomers.is_empty() {
         return None;
     }
     let target = prefill_engines_for_share(engines, share);
-    if target.abs_diff(prefill_engines) * SHARE_TOLERANCE_DIVISOR < engines {
+    if target.abs_diff(current_prefill) * SHARE_TOLERANCE_DIVISOR < engines {
         return None;
     }
-    match target.cmp(&prefill_engines) {
+    match target.cmp(&current_prefill) {
         Ordering::Equal => None,
         Ordering::Greater => Some(EngineRole::Prefill),
         Ordering::Less => Some(EngineRole::Mixed),
@@ -464,7 +464,7 @@
     newcomers: &BTreeSet<BackendId>,
     role: EngineRole,
     share: f64,
-    prefill_engines: usize,
+    current_prefill: usize,
 ) -> Option<PoolStep> {
     let target = prefill_engines_for_share(members.len(), share);
     let changes = |member: &&Member<'_>| {
@@ -474,7 +474,7 @@
     let engines: Vec<BackendId> = members
         .iter()
         .filter(changes)
-        .take(target.abs_diff(prefill_engines))
+        .take(target.abs_diff(current_prefill))
         .map(|member| member.id.clone())
         .collect();
     (!engines.is_empty()).then_some(PoolStep { role, engines })
--- a/components/control/src/claims.rs
+++ b/components/control/src/claims.rs
@@ -54,8 +54,8 @@
         let Some(record) = self.records.get_mut(&key) else {
             return self.insert(key, command, ClaimState::Owned(command.claim.clone()), at);
         };
-        if let ClaimState::Released(released) = &record.state {
-            if *released == command.claim {
+        if let ClaimState::Released(previous) = &record.state {
+            if *previous == command.claim {
                 return ClaimAnswer::Released;
             }
             record.body_hash = command.body_hash;
--- a/components/control/src/configuration.rs
+++ b/components/control/src/configuration.rs
@@ -149,7 +149,7 @@
     /// Start of the back end, or [`UNKNOWN_START`].
     pub fn start(&self) -> u64 {
         let observed = self.observed.as_ref();
-        observed.map_or(self.registration.start, |observed| observed.incarnation)
+        observed.map_or(self.registration.start, |seen| seen.incarnation)
     }
 
     /// The pool of an engine: its service and its model.
@@ -161,7 +161,7 @@
     /// The assignment of the outstanding order, or else the observed one.
     pub fn assignment(&self) -> Option<&EngineAssignment> {
         let ordered = self.order.as_ref().map(|order| &order.assignment);
-        ordered.or(self.observed.as_ref().map(|observed| &observed.assignment))
+        ordered.or(self.observed.as_ref().map(|seen| &seen.assignment))
     }
 }
 
--- a/components/control/src/fleet_health.rs
+++ b/components/control/src/fleet_health.rs
@@ -102,7 +102,7 @@
     }
 
     /// Forgets back ends for which `is_known` returns false.
-    pub(crate) fn retain(&mut self, is_known: impl Fn(&BackendId) -> bool) {
+    pub(crate) fn retain_backends(&mut self, is_known: impl Fn(&BackendId) -> bool) {
         self.by_backend.retain(|id, _| is_known(id));
     }
 
--- a/components/control/src/fleet_load.rs
+++ b/components/control/src/fleet_load.rs
@@ -113,7 +113,7 @@
         let reports = &self.reports;
         self.sent.retain(|gateway, _| reports.contains_key(gateway));
         let backends = &configuration.backends;
-        self.health.retain(|id| backends.contains_key(id));
+        self.health.retain_backends(|id| backends.contains_key(id));
         let sums = self.sums(now);
         let services = backends
             .iter()
@@ -161,7 +161,7 @@
 
     /// Forgets how requests ended at a back end that has restarted.
     pub(crate) fn on_restart(&mut self, backend: &BackendId) {
-        self.health.retain(|id| id != backend);
+        self.health.retain_backends(|id| id != backend);
     }
 
     pub(crate) fn clear(&mut self) {
--- a/components/control/src/group_step.rs
+++ b/components/control/src/group_step.rs
@@ -62,8 +62,8 @@
     settings: GroupSettings,
 ) -> Option<GroupStep> {
     let replaced = |member: &&MemberStatus| {
-        let has_its_address = |request: &&JoinRequest| {
-            request.peer_address == member.peer_address && request.id != member.id
+        let has_its_address = |join_request: &&JoinRequest| {
+            join_request.peer_address == member.peer_address && join_request.id != member.id
         };
         !member.is_leader
             && join_requests
@@ -74,8 +74,8 @@
         return Some(GroupStep::Remove(member.id));
     }
     let is_member = |id: ReplicaId| members.iter().any(|member| member.id == id);
-    if let Some(request) = join_requests.iter().find(|request| !is_member(request.id)) {
-        return Some(GroupStep::Admit(request.clone()));
+    if let Some(join_request) = join_requests.iter().find(|request| !is_member(request.id)) {
+        return Some(GroupStep::Admit(join_request.clone()));
     }
     let ready = members.iter().find(|member| {
         !member.voter && member.caught_up && member.silent_for < MAX_PROMOTION_SILENCE
--- a/components/control/src/planning.rs
+++ b/components/control/src/planning.rs
@@ -44,13 +44,13 @@
 
     /// Adds the load that a gateway reported.
     pub(crate) fn add(&mut self, mixes: &[PoolMix]) {
-        for mix in mixes {
-            let pool = (mix.service.clone(), mix.model.clone());
+        for reported in mixes {
+            let pool = (reported.service.clone(), reported.model.clone());
             let offered = self.offered.entry(pool).or_default();
-            offered.requests += mix.requests as f64;
-            offered.prompt_bound += mix.prompt_bound as f64;
-            offered.prompt_tokens += mix.prompt_tokens as f64;
-            offered.output_tokens += mix.output_tokens as f64;
+            offered.requests += reported.requests as f64;
+            offered.prompt_bound += reported.prompt_bound as f64;
+            offered.prompt_tokens += reported.prompt_tokens as f64;
+            offered.output_tokens += reported.output_tokens as f64;
         }
     }
 
@@ -132,15 +132,15 @@
             assignment.model.clone(),
         );
         let members = pools.entry(pool).or_default();
-        let load = load_of(id);
-        if let Some(load) = load {
-            members.capacity = load.capacity;
+        let engine_load = load_of(id);
+        if let Some(engine_load) = engine_load {
+            members.capacity = engine_load.capacity;
         }
         members.engines.push(Engine {
             id: id.clone(),
             role: assignment.role,
-            serving: record.takes_work() && load.is_some(),
-            load: load.map_or(0, |load| load.running),
+            serving: record.takes_work() && engine_load.is_some(),
+            load: engine_load.map_or(0, |engine_load| engine_load.running),
         });
     }
     pools
--- a/components/control/src/replica/duties.rs
+++ b/components/control/src/replica/duties.rs
@@ -228,8 +228,8 @@
     /// Reports the oldest window that is closed and not yet reported.
     fn report_usage(&mut self, token: u64, settings: &DutySettings) {
         let delivered = &self.duty_state.delivered;
-        let mut unreported = self.state.usage.unreported().iter();
-        let next = unreported.find(|(window, _)| !delivered.contains(window));
+        let mut unreported_windows = self.state.usage.unreported().iter();
+        let next = unreported_windows.find(|(window, _)| !delivered.contains(window));
         if let Some((window, counts)) = next {
             let duty = Duty::Usage {
                 window: *window,
@@ -313,10 +313,10 @@
     }
 
     fn on_usage_delivered(&mut self, window: UsageWindow) {
-        let unreported = self.state.usage.unreported();
+        let unreported_windows = self.state.usage.unreported();
         self.duty_state
             .delivered
-            .retain(|delivered| unreported.contains_key(delivered));
+            .retain(|delivered| unreported_windows.contains_key(delivered));
         self.duty_state.delivered.insert(window);
         // If this entry is lost, the next leader reports the same window again.
         self.propose_own(Command::UsageTold(window));
--- a/components/control/src/replica/engines.rs
+++ b/components/control/src/replica/engines.rs
@@ -249,7 +249,7 @@
             self.reconciler.on_restart(id);
             self.copies.on_restart(id);
             self.fleet_load.on_restart(id);
-            self.limiting.on_restart(id);
+            self.limiting.remove_limit(id);
         }
     }
 
--- a/components/control/src/replica/group.rs
+++ b/components/control/src/replica/group.rs
@@ -20,7 +20,7 @@
 }
 
 impl JoinRequests {
-    fn insert(&mut self, request: JoinRequest, now: Millis) {
+    fn insert_request(&mut self, request: JoinRequest, now: Millis) {
         let address = request.peer_address.clone();
         self.by_address.insert(address, (request, now));
     }
@@ -41,7 +41,7 @@
     /// Records the request of a replica to join, or forwards it to the leader.
     pub(super) fn handle_join(&mut self, request: JoinRequest) {
         if self.node.is_leader() {
-            self.join_requests.insert(request, self.now);
+            self.join_requests.insert_request(request, self.now);
             return;
         }
         let own = self.node.id();
@@ -59,16 +59,16 @@
         let Some(settings) = self.settings.group else {
             return;
         };
-        let requests = self.join_requests.recent(self.now);
+        let join_requests = self.join_requests.recent(self.now);
         let members = member_statuses(&self.node);
-        let Some(step) = next_step(&members, &requests, settings) else {
+        let Some(step) = next_step(&members, &join_requests, settings) else {
             return;
         };
         let proposed = match &step {
-            GroupStep::Admit(request) => self.node.add_learner(
-                request.id,
-                request.peer_address.clone(),
-                request.admin_address.clone(),
+            GroupStep::Admit(joining) => self.node.add_learner(
+                joining.id,
+                joining.peer_address.clone(),
+                joining.admin_address.clone(),
             ),
             GroupStep::Promote(id) => self.node.promote(*id),
             GroupStep::Remove(id) => self.node.remove_member(*id),
--- a/components/control/src/replica/limiting.rs
+++ b/components/control/src/replica/limiting.rs
@@ -53,7 +53,7 @@
     }
 
     /// Removes the limit of a back end that has restarted.
-    pub(super) fn on_restart(&mut self, id: &BackendId) {
+    pub(super) fn remove_limit(&mut self, id: &BackendId) {
         self.ledger.forget(id);
     }
 
@@ -165,8 +165,8 @@
         self.limiting
             .ledger
             .retain_known(|id| backends.contains_key(id));
-        let gateways = &self.gateways;
+        let known_gateways = &self.gateways;
         let states = &mut self.limiting.gateways;
-        states.retain(|gateway, _| gateways.is_known(gateway));
+        states.retain(|gateway, _| known_gateways.is_known(gateway));
     }
 }
--- a/components/control/tests/state/duties.rs
+++ b/components/control/tests/state/duties.rs
@@ -149,8 +149,8 @@
     let mut leader = Leader::elected(settings(fences_checked), held_by(holders));
     let led_since = leader.now;
     let has_tenure = |leader: &Leader| {
-        let current = leader.replica.state().tenures.current();
-        current.is_some_and(|tenure| tenure.token > holders.len() as u64)
+        let current_tenure = leader.replica.state().tenures.current();
+        current_tenure.is_some_and(|tenure| tenure.token > holders.len() as u64)
     };
     while !has_tenure(&leader) {
         leader.run(Millis(50));
