--- a/components/forwarding-shell/src/buffered.rs
+++ b/components/forwarding-shell/src/buffered.rs
@@ -15,13 +15,13 @@
 
 use crate::answers::OwnAnswer;
 use crate::attempt::{attempt, log_failure, note_silent, status_cause};
-use crate::failover::{admit_hedge, can_fail_over, on_attempt_ended, place_apart};
+use crate::failover::{admit_hedge, can_fail_over, on_attempt_ended, place_with_isolation};
 use crate::gateway::Gateway;
 use crate::headers::remove_connection_headers;
 use crate::permits::{NotPlaced, place_within_limits};
 use crate::ports::{BackendPort, Call, CallerPort, Job, JobPhase};
 use crate::request::{
-    RunningRequest, given_up_answer, log_no_back_end, note_begun, own_answer, record_end,
+    RunningRequest, count_usage_once, given_up_answer, log_no_back_end, own_answer, record_end,
     sleep_until_due,
 };
 use crate::timeout::with_timeout;
@@ -90,8 +90,8 @@
         running.served_by = Some(backend.clone());
         let job = job_for(gateway, running, backend.clone());
         let call = Rc::clone(&running.call);
-        let begun = Rc::clone(&running.begun);
-        let mut attempting = pin!(attempt_once(gateway, &call, &begun, &job));
+        let usage_counted = Rc::clone(&running.usage_counted);
+        let mut attempting = pin!(attempt_once(gateway, &call, &usage_counted, &job));
         let time_limit = running.may_fail_over().then_some(running.silence.answer);
         let attempted = loop {
             if let Some(attempted) = with_timeout(time_limit, attempting.as_mut()).await {
@@ -223,13 +223,13 @@
             Placement::Handover { .. } => None,
         }
     };
-    place_apart(gateway, running, place)
+    place_with_isolation(gateway, running, place)
 }
 
 async fn attempt_once<C, B>(
     gateway: &Rc<Gateway<C, B>>,
     call: &Call,
-    begun: &Cell<bool>,
+    usage_counted: &Cell<bool>,
     job: &Job,
 ) -> Result<BufferedAnswer, AttemptEnd>
 where
@@ -239,7 +239,7 @@
     let began = gateway.now();
     let opened = attempt(gateway, call, job).await;
     if !matches!(opened, Err(AttemptEnd::Unsent | AttemptEnd::NotRun(_))) {
-        note_begun(gateway, call, begun, began);
+        count_usage_once(gateway, call, usage_counted, began);
     }
     let mut open = opened?;
     let body_read = open.exchange.read_whole(MAX_ANSWER_BYTES).await;
--- a/components/forwarding-shell/src/failover.rs
+++ b/components/forwarding-shell/src/failover.rs
@@ -11,7 +11,7 @@
 /// Notes the end of an attempt and decides whether another one may follow.
 ///
 /// # Errors
-/// What giving up the request means, if no other attempt may follow.
+/// Whether the request has not run or may have run, if no other attempt may follow.
 pub(crate) fn on_attempt_ended<C: CallerPort, B: BackendPort>(
     gateway: &Gateway<C, B>,
     running: &mut RunningRequest,
@@ -38,7 +38,7 @@
     }
 }
 
-/// Whether another back end can take the request and the budget has a repeat for it.
+/// Whether another back end can take the request and the service's retry budget allows it.
 pub(crate) fn can_fail_over<C: CallerPort, B: BackendPort>(
     gateway: &Gateway<C, B>,
     running: &RunningRequest,
@@ -59,8 +59,8 @@
 }
 
 /// Whether the request may be hedged: sent to another back end while the attempt at a
-/// silent one stays open. `count` counts the silent attempt. Takes a repeat from the
-/// budget.
+/// silent one stays open. `count` counts the silent attempt. Takes a retry from the
+/// service's retry budget.
 pub(crate) fn admit_hedge<C: CallerPort, B: BackendPort>(
     gateway: &Gateway<C, B>,
     running: &mut RunningRequest,
@@ -102,10 +102,10 @@
     quarantine_status(gateway, call) == QuarantineStatus::Refused
 }
 
-/// Places a request with `place`, which is given the back ends to leave out. A suspected
-/// request goes to its isolation back end if that can take it, apart from other suspected
-/// requests.
-pub(crate) fn place_apart<C: CallerPort, B: BackendPort, T>(
+/// Places a request with `place`, which is given the back ends to leave out. Each
+/// suspected request has an isolation back end, which separates it from other suspected
+/// requests. It goes there if that back end can take it, and otherwise to any.
+pub(crate) fn place_with_isolation<C: CallerPort, B: BackendPort, T>(
     gateway: &Gateway<C, B>,
     running: &RunningRequest,
     place: impl Fn(&[BackendId]) -> Option<T>,
@@ -133,7 +133,7 @@
     is_in_time && !is_quarantined(gateway, &running.call)
 }
 
-/// Takes one repeat from the service's budget; logs it if none is left.
+/// Takes one retry from the service's retry budget; logs it if none is left.
 pub(crate) fn take_repeat<C: CallerPort, B: BackendPort>(
     gateway: &Gateway<C, B>,
     running: &RunningRequest,
--- a/components/forwarding-shell/src/gateway.rs
+++ b/components/forwarding-shell/src/gateway.rs
@@ -41,7 +41,7 @@
     /// Unknown headers in answers of back ends.
     pub(crate) unknown_headers: UnknownHeaders,
     /// Timeouts of callers' connections, from the route table in force.
-    pub(crate) connection_times: Shared<ConnectionTimeouts>,
+    pub(crate) connection_timeouts: Shared<ConnectionTimeouts>,
     /// When the route table in force took effect.
     pub(crate) routes_since: Cell<Millis>,
     /// End of the grace time of a planned stop, once one has begun. Answers then ask
@@ -52,7 +52,7 @@
 }
 
 /// Timeouts of callers' connections under these limits.
-pub(crate) fn connection_times(limits: CallerLimits) -> ConnectionTimeouts {
+pub(crate) fn connection_timeouts(limits: CallerLimits) -> ConnectionTimeouts {
     ConnectionTimeouts {
         head: Duration::from_millis(limits.head_timeout_ms.0),
         idle: Duration::from_millis(limits.idle_timeout_ms.0),
@@ -65,13 +65,13 @@
     }
 
     /// Estimated time until a gateway that has just started has its configuration.
-    pub(crate) fn expected_configuration(&self, now: Millis) -> Millis {
+    pub(crate) fn expected_configuration_wait(&self, now: Millis) -> Millis {
         let running_for = now.since(self.started_at);
         (TIME_TO_CONFIGURATION - running_for).max(MIN_CONFIGURATION_WAIT)
     }
 
     /// Counts a request of the tenant that began to run at `began`.
-    pub(crate) fn note_begun(&self, tenant: Option<&TenantId>, began: Millis) {
+    pub(crate) fn count_usage(&self, tenant: Option<&TenantId>, began: Millis) {
         if let (Some(usage), Some(tenant)) = (&self.usage, tenant) {
             usage.borrow_mut().note(tenant, began);
         }
--- a/components/forwarding-shell/src/request.rs
+++ b/components/forwarding-shell/src/request.rs
@@ -43,10 +43,11 @@
     /// When the request has surely timed out.
     pub(crate) due: Millis,
     pub(crate) progress: Progress,
+    /// Back ends that were tried without success, or whose open attempt is silent.
     pub(crate) tried: Vec<BackendId>,
     pub(crate) served_by: Option<BackendId>,
     /// Whether usage has counted the request.
-    pub(crate) begun: Rc<Cell<bool>>,
+    pub(crate) usage_counted: Rc<Cell<bool>>,
     ended: Cell<bool>,
     _open: OpenRequestGuard,
 }
@@ -77,13 +78,13 @@
     /// The request's arrival for admission; its caller waits at most `longest_gap` for an
     /// event.
     pub(crate) fn arrival(&self, longest_gap: Millis, now: Millis) -> Arrival {
-        let given = self.remaining(self.arrived);
+        let time_at_arrival = self.remaining(self.arrived);
         let route_timeout = self.route.timeout_ms.0 as f64;
         Arrival {
             waited: now.since(self.arrived),
             remaining: self.remaining(now).min(longest_gap),
             deadline: self.remaining(now),
-            is_retry: (given.0 as f64) < route_timeout * FIRST_CALL_MIN_FRACTION,
+            is_retry: (time_at_arrival.0 as f64) < route_timeout * FIRST_CALL_MIN_FRACTION,
         }
     }
 }
@@ -184,7 +185,7 @@
         let answer = if forwarder.is_confirmed() && forwarder.routes_version().is_some() {
             OwnAnswer::NoRoute
         } else {
-            OwnAnswer::NotRun(gateway.expected_configuration(arrived))
+            OwnAnswer::NotRun(gateway.expected_configuration_wait(arrived))
         };
         return Err(Box::new((facts, answer)));
     };
@@ -196,7 +197,7 @@
             let answer = if forwarder.is_confirmed() {
                 OwnAnswer::Unauthorized(denied)
             } else {
-                OwnAnswer::NotRun(gateway.expected_configuration(arrived))
+                OwnAnswer::NotRun(gateway.expected_configuration_wait(arrived))
             };
             return Err(Box::new((facts, answer)));
         }
@@ -238,7 +239,7 @@
         progress: Progress::default(),
         tried: Vec::new(),
         served_by: None,
-        begun: Rc::default(),
+        usage_counted: Rc::default(),
         ended: Cell::new(false),
         _open: OpenRequestGuard::begin(&gateway.open_requests),
     })
@@ -279,16 +280,16 @@
     own_answer(gateway, running, OwnAnswer::Quarantined(refused_for))
 }
 
-/// Counts in usage that a back end began to run the request at `began`. `begun` is set then,
-/// so that repeats are not counted again.
-pub(crate) fn note_begun<C: CallerPort, B: BackendPort>(
+/// Counts in usage that a back end began to run the request at `began`. `usage_counted` is
+/// set then, so that retries are not counted again.
+pub(crate) fn count_usage_once<C: CallerPort, B: BackendPort>(
     gateway: &Gateway<C, B>,
     call: &Call,
-    begun: &Cell<bool>,
+    usage_counted: &Cell<bool>,
     began: Millis,
 ) {
-    if !begun.replace(true) {
-        gateway.note_begun(call.tenant.as_ref(), began);
+    if !usage_counted.replace(true) {
+        gateway.count_usage(call.tenant.as_ref(), began);
     }
 }
 
@@ -330,8 +331,8 @@
     match given_up {
         GivenUp::NotRun => {
             let all_in_backoff = all_in_backoff(gateway, running);
-            let crowd = retry_after(running.work.objective);
-            OwnAnswer::NotRun(all_in_backoff.unwrap_or(crowd))
+            let default_retry_after = retry_after(running.work.objective);
+            OwnAnswer::NotRun(all_in_backoff.unwrap_or(default_retry_after))
         }
         GivenUp::InDoubt => OwnAnswer::InDoubt,
     }
--- a/components/forwarding-shell/src/start.rs
+++ b/components/forwarding-shell/src/start.rs
@@ -19,17 +19,17 @@
 use smol::channel::bounded;
 
 use crate::connection_queue::ConnectionQueue;
-use crate::gateway::{Gateway, connection_times};
+use crate::gateway::{Gateway, connection_timeouts};
 use crate::metrics::GatewayMetrics;
 use crate::permits::PermitClient;
 use crate::ports::{BackendPort, CallerPort};
 use crate::request;
 use crate::stopping::{StopTimes, announce_stop};
 use crate::unknown_headers::UnknownHeaders;
-use crate::watch::{self, Watch, WatchOwner};
+use crate::watch::{self, Watch, WatchHandler};
 
-/// Maximum number of requests to the leader that are queued: a watch with the reports
-/// beside it, and a permit for each request of a short burst.
+/// Maximum number of requests to the leader that are queued: a watch request, the
+/// reports sent with it, and a permit request for each request of a short burst.
 const QUEUED_REQUESTS: usize = 64;
 
 /// Addresses of the control replicas, replaced when the settings change.
@@ -80,7 +80,7 @@
     C: CallerPort + 'static,
     B: BackendPort + 'static,
 {
-    let times = Shared::new(connection_times(CallerLimits::default()));
+    let times = Shared::new(connection_timeouts(CallerLimits::default()));
     let server = smol::block_on(HttpServer::bind(options.listen, Limits::default()))?;
     let server = server.with_timeouts(times.clone());
     let ready_server = smol::block_on(HttpServer::bind(options.ready_listen, Limits::default()))?;
@@ -105,7 +105,7 @@
         permits: PermitClient::new(id.clone(), requests_in.clone()),
         connections: ConnectionQueue::default(),
         unknown_headers: UnknownHeaders::default(),
-        connection_times: times,
+        connection_timeouts: times,
         routes_since: Cell::new(shell.clock.now()),
         stop_deadline: Cell::new(None),
         open_requests: Rc::default(),
@@ -126,7 +126,7 @@
     ));
     let mut children = extra_children;
     children.extend([
-        control_link::child(WatchOwner(Rc::clone(&watch)), id, requests),
+        control_link::child(WatchHandler(Rc::clone(&watch)), id, requests),
         watch::ticker(Rc::clone(&watch)),
     ]);
     if gateway.usage.is_some() {
--- a/components/forwarding-shell/src/stream/engine_run.rs
+++ b/components/forwarding-shell/src/stream/engine_run.rs
@@ -84,8 +84,9 @@
         self.open.guard.connection_lost(call);
     }
 
-    /// Notes that the engine has been silent for too long. Other requests avoid it for twice
-    /// the time that a first failure causes.
+    /// Notes that the engine has been silent for too long. `silent` opens its circuit
+    /// breaker and `failed` doubles the time that it stays open, so other requests avoid the
+    /// engine for twice the time that a first failure causes.
     pub(super) fn note_silent(&mut self) {
         self.open.guard.silent();
         self.open.guard.failed();
--- a/components/forwarding-shell/src/stream/mod.rs
+++ b/components/forwarding-shell/src/stream/mod.rs
@@ -23,7 +23,7 @@
 use crate::gateway::Gateway;
 use crate::ports::{BackendPort, CallerPort};
 use crate::request::{
-    RunningRequest, given_up_answer, note_begun, own_answer, record_end, sleep_until_due,
+    RunningRequest, count_usage_once, given_up_answer, own_answer, record_end, sleep_until_due,
 };
 use crate::timeout::with_timeout;
 
@@ -39,7 +39,7 @@
     run: Option<EngineRun<C, B>>,
     /// When the last event came.
     last_event_at: Millis,
-    /// How the last engine that did not finish the answer ended.
+    /// Why the last engine that broke off or was abandoned did not finish the answer.
     engine_end: String,
     ended: bool,
 }
@@ -197,8 +197,12 @@
             Received::Event(event) => {
                 let now = self.gateway.now();
                 self.last_event_at = now;
-                let RunningRequest { call, begun, .. } = &self.search.running;
-                note_begun(&self.gateway, call, begun, now);
+                let RunningRequest {
+                    call,
+                    usage_counted,
+                    ..
+                } = &self.search.running;
+                count_usage_once(&self.gateway, call, usage_counted, now);
                 let last_id = self.run.as_ref().and_then(EngineRun::last_id);
                 self.search.resume_after = last_id.map(str::to_owned);
                 Next::Event(event)
--- a/components/forwarding-shell/src/stream/placement.rs
+++ b/components/forwarding-shell/src/stream/placement.rs
@@ -5,7 +5,7 @@
 use garnet_types::{BackendId, Millis};
 
 use crate::attempt::{OpenAnswer, attempt, log_failure, status_cause};
-use crate::failover::{place_apart, quarantine_status};
+use crate::failover::{place_with_isolation, quarantine_status};
 use crate::permits::{NotPlaced, place_within_limits};
 use crate::ports::{BackendPort, CallerPort, CopySource, Job, JobPhase};
 use crate::request::{RunningRequest, log_no_back_end};
@@ -123,7 +123,7 @@
 
     pub(super) fn place(&self) -> Option<Placement> {
         let RunningRequest { service, work, .. } = &self.running;
-        place_apart(&self.gateway, &self.running, |tried| {
+        place_with_isolation(&self.gateway, &self.running, |tried| {
             let now = self.gateway.now();
             let mut forwarder = self.gateway.forwarder.borrow_mut();
             forwarder.place(service, work, tried, true, now)
@@ -147,7 +147,7 @@
 
     pub(super) fn place_decode(&self, prefill_engine: &BackendId) -> Option<BackendId> {
         let service = &self.running.service;
-        place_apart(&self.gateway, &self.running, |tried| {
+        place_with_isolation(&self.gateway, &self.running, |tried| {
             let now = self.gateway.now();
             let mut forwarder = self.gateway.forwarder.borrow_mut();
             let decode_engine = forwarder.place_decode(service, prefill_engine, tried, now);
--- a/components/forwarding-shell/src/stream/search.rs
+++ b/components/forwarding-shell/src/stream/search.rs
@@ -115,7 +115,7 @@
     }
 
     /// Begins to hedge the current engine, which is silent. Returns `false` if there is no
-    /// other engine, or no repeat for it.
+    /// other engine, or the service's retry budget is spent.
     pub(super) fn begin_hedge(&mut self) -> bool {
         self.note_tried();
         let begins = can_fail_over(&self.gateway, &self.running, true)
@@ -131,7 +131,8 @@
         begins
     }
 
-    /// Notes the attempt of a search that was dropped before its end.
+    /// Cleans up after a search that was dropped before its end: drops its KV cache, and
+    /// counts an attempt that was still open as broken off.
     pub(super) fn cancel(&mut self) {
         self.cache = None;
         if self.may_run.take() {
@@ -227,8 +228,8 @@
                 prefill_engine,
                 copy_from,
             } => {
-                // The first prefill takes no repeat from the service's budget. Each later one
-                // takes one, beside the repeat for the decode that follows it.
+                // The first prefill takes no retry from the service's retry budget. Each later
+                // one takes one, in addition to the retry for the decode that follows it.
                 if self.was_prefilled && !take_repeat(&self.gateway, &self.running) {
                     return Err(NotStreamed::GivenUp(self.running.progress.given_up()));
                 }
--- a/components/forwarding-shell/src/stream/successor.rs
+++ b/components/forwarding-shell/src/stream/successor.rs
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Keeps the answer with the engine that was silent.
+    /// Continues the answer with the engine that was silent.
     fn keep_silent_engine(&mut self, silent: Option<BackendId>) {
         self.search.running.served_by = silent;
         self.search.running.progress.silent_resumed();
--- a/components/forwarding-shell/src/watch.rs
+++ b/components/forwarding-shell/src/watch.rs
@@ -16,7 +16,7 @@
 use smol::Timer;
 use smol::channel::{Receiver, Sender};
 
-use crate::gateway::{Gateway, connection_times};
+use crate::gateway::{Gateway, connection_timeouts};
 use crate::permits::{handle_permit_answer, send_limit_reports};
 use crate::ports::{BackendPort, CallerPort};
 use crate::start::Replicas;
@@ -40,7 +40,9 @@
     gateway: Rc<Gateway<C, B>>,
     id: GatewayId,
     replicas: Replicas,
+    /// Addresses of the control group, as last received from the leader.
     group: RefCell<Vec<String>>,
+    /// Log index of that group membership.
     group_index: Cell<u64>,
     received_at: Cell<Millis>,
     requests: Sender<GatewayRequest>,
@@ -261,8 +263,8 @@
         if before.routes_version != after.routes_version {
             self.gateway.routes_since.set(self.gateway.now());
         }
-        let times = connection_times(forwarder.limits());
-        self.gateway.connection_times.replace(times);
+        let times = connection_timeouts(forwarder.limits());
+        self.gateway.connection_timeouts.replace(times);
         let (open, known) = forwarder.open_backends(self.gateway.now());
         // Orders to engines raise the index often; hundreds of gateways should not each
         // log that at info level.
@@ -311,15 +313,15 @@
 }
 
 /// Handles the events of the connection to the leader.
-pub(crate) struct WatchOwner<C, B>(pub(crate) Rc<Watch<C, B>>);
+pub(crate) struct WatchHandler<C, B>(pub(crate) Rc<Watch<C, B>>);
 
-impl<C, B> Clone for WatchOwner<C, B> {
+impl<C, B> Clone for WatchHandler<C, B> {
     fn clone(&self) -> Self {
-        WatchOwner(Rc::clone(&self.0))
+        WatchHandler(Rc::clone(&self.0))
     }
 }
 
-impl<C: CallerPort + 'static, B: BackendPort + 'static> ControlLinkHandler for WatchOwner<C, B> {
+impl<C: CallerPort + 'static, B: BackendPort + 'static> ControlLinkHandler for WatchHandler<C, B> {
     fn replicas(&self) -> Vec<String> {
         let mut known = self.0.group.borrow().clone();
         for address in self.0.replicas.current() {
