--- a/components/control-shell/src/data_folder.rs
+++ b/components/control-shell/src/data_folder.rs
@@ -17,7 +17,7 @@
 use crate::disk_space::wait_for_space;
 use crate::joining::MemberAddress;
 
-/// File in which an initial member of the group keeps the initial group for later starts.
+/// File in which an initial member stores the initial group, which later starts load.
 const INITIAL_GROUP_FILE: &str = "first-group";
 /// How often opening is retried on a full disk. It blocks the thread, since nothing else
 /// runs yet.
@@ -63,9 +63,9 @@
     ReplicaId(xxh3_64(address.peer.as_bytes()))
 }
 
-/// Opens the data folder. An identity is bound to the disk: an empty folder
-/// makes a new replica unless this is the first start of the group. While the disk
-/// is full this waits, until `stop_requested` returns true; it returns `None` then.
+/// Opens the data folder. An identity is bound to the disk: a process that starts with an
+/// empty folder is a new replica, unless this is the first start of the group. While the
+/// disk is full this waits, until `stop_requested` returns true; it returns `None` then.
 ///
 /// # Errors
 /// When the folder can't be used, or holds data that this build can't read.
@@ -88,9 +88,10 @@
     let Some(mut directory) = opened else {
         return Ok(None);
     };
-    let fresh = settings.initial_id.map_or_else(rand::random, |id| id.0);
-    let (identity, created) = DiskIdentity::open_or_create(&mut directory, &settings.name, fresh)
-        .map_err(io::Error::other)?;
+    let new_incarnation = settings.initial_id.map_or_else(rand::random, |id| id.0);
+    let (identity, created) =
+        DiskIdentity::open_or_create(&mut directory, &settings.name, new_incarnation)
+            .map_err(io::Error::other)?;
     let id = ReplicaId(identity.incarnation);
     let group = initial_group(&mut directory, settings, id, created).map_err(io::Error::other)?;
     let (storage, recovered) = ReplicaStorage::open(directory).map_err(io::Error::other)?;
@@ -129,8 +130,8 @@
     }))
 }
 
-/// The group before any membership entry. A replica that joins later learns
-/// the group from its leader.
+/// The group that is valid before the log holds any membership entry. It is empty for a
+/// replica that joins later, which learns the group from its leader.
 fn initial_group(
     directory: &mut DiskDirectory,
     settings: &OpenSettings,
--- a/components/control-shell/src/directory.rs
+++ b/components/control-shell/src/directory.rs
@@ -1,4 +1,6 @@
-//! The port to the list of machines, and the child task that polls it.
+//! The trait through which the list of machines is read, and the child task that polls
+//! it. This directory of machines has nothing to do with the folders of
+//! [`garnet_storage::Directory`].
 
 use std::cell::Cell;
 use std::future::Future;
@@ -14,8 +16,8 @@
 
 use crate::metrics::ReplicaMetrics;
 
-/// How often a replica checks whether it leads by now, where only the leader reads the
-/// list.
+/// How often a replica that does not lead checks whether it leads, if only the leader
+/// reads the list.
 const LEADERSHIP_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Why the list of machines could not be read.
--- a/components/control-shell/src/disk.rs
+++ b/components/control-shell/src/disk.rs
@@ -119,8 +119,9 @@
         Ok(self)
     }
 
-    /// For the time of `pause`, refers gateways and operators to other replicas.
-    /// Messages of peers and engines are dropped, as on a lossy network.
+    /// For the duration of `pause`, answers requests of gateways and operators with
+    /// `NotLeader`, so that they try other replicas. Messages of peers and engines are
+    /// dropped, as on a lossy network.
     async fn refuse_events_for(&self, pause: Duration) -> Result<(), PersistEnd> {
         self.metrics.set_disk_full(true);
         self.leads.set(false);
--- a/components/control-shell/src/duties.rs
+++ b/components/control-shell/src/duties.rs
@@ -1,4 +1,5 @@
-//! The port to the platform for duties that only one replica performs at a time.
+//! The port to the platform for duties that only one replica performs at a time:
+//! reporting usage and ordering engines.
 
 use std::future::Future;
 
--- a/components/control-shell/src/lib.rs
+++ b/components/control-shell/src/lib.rs
@@ -1,10 +1,10 @@
 //! The I/O shell of a control replica.
 //!
 //! Contract: the shell owns the sockets, the disk and the clock of one
-//! [`garnet_control::Replica`]. The binary supplies the adapters to the outside:
-//! a [`DirectoryPort`] reads the list of machines, an [`EnginePort`] sends requests
-//! to engines, and a [`DutyPort`] calls the platform. Operators' requests reach the
-//! replica through [`Connections::ask`].
+//! [`garnet_control::Replica`]. The binary supplies the implementations
+//! of three traits, called ports: a [`DirectoryPort`] reads the list of machines, an
+//! [`EnginePort`] sends requests to engines, and a [`DutyPort`] calls the platform.
+//! Operators' requests reach the replica through [`Connections::ask`].
 
 mod connections;
 mod data_folder;
--- a/components/control-shell/tests/peer_link.rs
+++ b/components/control-shell/tests/peer_link.rs
@@ -48,7 +48,7 @@
         let (_sender, queued) = unbounded();
         let peer = async {
             let (mut reader, writer) = accepted;
-            let received = reader.next().await.expect("a sound frame");
+            let received = reader.next().await.expect("a valid frame");
             // The peer restarts, which closes its end of the connection.
             drop((reader, writer));
             received
--- a/components/storage/src/frame.rs
+++ b/components/storage/src/frame.rs
@@ -1,4 +1,4 @@
-//! Frames: one checksummed unit for each sync.
+//! Frames of a file: one checksummed unit for each sync.
 //!
 //! A frame is written only after the previous one was synced. After a crash, at
 //! most the last frame of the last segment can be torn. An invalid frame that is
--- a/components/storage/src/identity.rs
+++ b/components/storage/src/identity.rs
@@ -18,8 +18,9 @@
     pub format: u32,
     /// Name of the process that owns the folder, such as `control-2`.
     pub owner: String,
-    /// Chosen at random when the disk is first used. An empty disk that replaces this
-    /// one gets another number, so that its owner is not mistaken for the previous one.
+    /// Given by the caller when the folder is created: a random number, except for an
+    /// initial member of a control group. An empty disk that replaces this one gets
+    /// another number, so that its owner is not mistaken for the previous one.
     pub incarnation: u64,
 }
 
--- a/components/storage/src/memory.rs
+++ b/components/storage/src/memory.rs
@@ -10,7 +10,7 @@
 pub enum PowerLoss {
     /// They are lost.
     DropUnsynced,
-    /// Only the given number of them is kept, as by a torn write.
+    /// Only the first ones, up to the given number, are kept, as by a torn write.
     KeepPrefix(usize),
     /// All of them are kept, but the byte at this offset from the first unsynced one
     /// is changed.
--- a/components/storage/tests/recovery.rs
+++ b/components/storage/tests/recovery.rs
@@ -40,7 +40,7 @@
 }
 
 fn open(directory: MemoryDirectory) -> ReplicaStorage<MemoryDirectory> {
-    ReplicaStorage::open(directory).expect("a sound folder").0
+    ReplicaStorage::open(directory).expect("an intact folder").0
 }
 
 #[test]
@@ -50,7 +50,7 @@
     let after = storage
         .directory()
         .after_power_loss(PowerLoss::DropUnsynced);
-    let (_, recovered) = ReplicaStorage::open(after).expect("sound");
+    let (_, recovered) = ReplicaStorage::open(after).expect("an intact folder");
     assert_eq!(recovered.entries.len(), 5);
     assert_eq!(recovered.hard_state.term, 3);
     assert_eq!(recovered.hard_state.voted_for, Some(ReplicaId(1)));
@@ -73,7 +73,7 @@
     let after = storage
         .directory()
         .after_power_loss(PowerLoss::DropUnsynced);
-    let (_, recovered) = ReplicaStorage::open(after).expect("sound");
+    let (_, recovered) = ReplicaStorage::open(after).expect("an intact folder");
     assert_eq!(recovered.hard_state, vote);
 }
 
@@ -91,7 +91,7 @@
     let after = storage
         .directory()
         .after_power_loss(PowerLoss::DropUnsynced);
-    let (_, recovered) = ReplicaStorage::open(after).expect("sound");
+    let (_, recovered) = ReplicaStorage::open(after).expect("an intact folder");
     assert_eq!(recovered.commit_index, 4);
     assert_eq!(recovered.entries.len(), 6);
 }
@@ -104,7 +104,7 @@
     let after = storage
         .directory()
         .after_power_loss(PowerLoss::DropUnsynced);
-    let (_, recovered) = ReplicaStorage::open(after).expect("sound");
+    let (_, recovered) = ReplicaStorage::open(after).expect("an intact folder");
     let recovered_entries: Vec<(u64, u64)> = recovered
         .entries
         .iter()
@@ -131,7 +131,7 @@
     let after = storage
         .directory()
         .after_power_loss(PowerLoss::DropUnsynced);
-    let (_, recovered) = ReplicaStorage::open(after).expect("sound");
+    let (_, recovered) = ReplicaStorage::open(after).expect("an intact folder");
     assert_eq!(recovered.snapshot.map(|s| s.index), Some(20_000));
     assert!(recovered.entries.is_empty());
 }
@@ -145,7 +145,7 @@
     let after = storage
         .directory()
         .after_power_loss(PowerLoss::DropUnsynced);
-    let (_, recovered) = ReplicaStorage::open(after).expect("sound");
+    let (_, recovered) = ReplicaStorage::open(after).expect("an intact folder");
     assert!(
         recovered.entries.is_empty(),
         "entries of term 1 behind a snapshot of term 4"
@@ -213,13 +213,13 @@
     }
     // After a power loss while the disk is full, earlier writes are still recovered.
     let during_full_disk = storage.directory().after_power_loss(loss);
-    let (_, recovered) = ReplicaStorage::open(during_full_disk).expect("sound");
+    let (_, recovered) = ReplicaStorage::open(during_full_disk).expect("an intact folder");
     assert_eq!(recovered.entries.len(), 4);
     storage.directory_mut().full = false;
     storage.write(&second_write).expect("room again");
     storage.write(&entries(7..=7, 2)).expect("written");
     let after = storage.directory().after_power_loss(loss);
-    let (_, recovered) = ReplicaStorage::open(after).expect("sound");
+    let (_, recovered) = ReplicaStorage::open(after).expect("an intact folder");
     assert_eq!(recovered.entries.len(), 7);
     assert_eq!(recovered.hard_state.term, 2);
 }
@@ -238,7 +238,7 @@
     let after = storage
         .directory()
         .after_power_loss(PowerLoss::DropUnsynced);
-    let (_, recovered) = ReplicaStorage::open(after).expect("sound");
+    let (_, recovered) = ReplicaStorage::open(after).expect("an intact folder");
     assert_eq!(recovered.snapshot.map(|snapshot| snapshot.index), Some(3));
     assert_eq!(recovered.entries.last().map(|entry| entry.index), Some(5));
 }
@@ -255,7 +255,7 @@
         directory.after_power_loss(loss),
         later.after_power_loss(loss),
     ] {
-        let value: Option<u64> = load_value(&state, "v").expect("sound");
+        let value: Option<u64> = load_value(&state, "v").expect("an intact file");
         assert!(matches!(value, Some(1 | 2)));
     }
 }
@@ -314,11 +314,11 @@
             .expect("appended");
         let loss = if flip { PowerLoss::Flip(kept / 2) } else { PowerLoss::KeepPrefix(kept / 2) };
         let (mut again, recovered) =
-            ReplicaStorage::open(torn.after_power_loss(loss)).expect("sound");
+            ReplicaStorage::open(torn.after_power_loss(loss)).expect("an intact folder");
         prop_assert_eq!(recovered.entries.len() as u64, synced);
-        again.write(&entries(next..=next, 1)).expect("goes on");
+        again.write(&entries(next..=next, 1)).expect("written");
         let after = again.directory().after_power_loss(PowerLoss::DropUnsynced);
-        let (_, recovered) = ReplicaStorage::open(after).expect("sound");
+        let (_, recovered) = ReplicaStorage::open(after).expect("an intact folder");
         prop_assert_eq!(recovered.entries.len() as u64, synced + 1);
     }
 }
--- a/components/wire/tests/frames.rs
+++ b/components/wire/tests/frames.rs
@@ -46,7 +46,7 @@
 #[case::full_configuration(full_configuration())]
 fn an_encoded_frame_decodes_to_itself(#[case] frame: Frame) {
     let mut bytes = encoded(frame.clone());
-    assert_eq!(decode(&mut bytes).expect("sound"), Some(frame));
+    assert_eq!(decode(&mut bytes).expect("a valid frame"), Some(frame));
     assert!(bytes.is_empty());
 }
 
@@ -79,9 +79,9 @@
 fn two_frames_received_at_once_are_decoded_in_order() {
     let mut bytes = encoded(watch(1));
     bytes.extend_from_slice(&encoded(watch(2)));
-    assert_eq!(decode(&mut bytes).expect("sound"), Some(watch(1)));
-    assert_eq!(decode(&mut bytes).expect("sound"), Some(watch(2)));
-    assert_eq!(decode(&mut bytes).expect("sound"), None);
+    assert_eq!(decode(&mut bytes).expect("a valid frame"), Some(watch(1)));
+    assert_eq!(decode(&mut bytes).expect("a valid frame"), Some(watch(2)));
+    assert_eq!(decode(&mut bytes).expect("a valid frame"), None);
 }
 
 #[test]
--- a/components/wire/tests/upgrade/disks.rs
+++ b/components/wire/tests/upgrade/disks.rs
@@ -32,7 +32,7 @@
     }
 
     fn start_with(disk: MemoryDirectory, snapshot_every: u64) -> Self {
-        let (storage, recovered) = ReplicaStorage::open(disk).expect("a sound disk");
+        let (storage, recovered) = ReplicaStorage::open(disk).expect("an intact data folder");
         let member = Member {
             peer_address: "10.0.0.1:7400".into(),
             admin_address: "10.0.0.1:8100".into(),
@@ -171,7 +171,7 @@
 #[rstest]
 fn a_snapshot_is_encoded_as_recorded_for_its_version(#[values(11, 16, 17)] protocol: u32) {
     let directory = folder(protocol, "snapshot.folder.hex");
-    let (_, recovered) = ReplicaStorage::open(directory).expect("a sound disk");
+    let (_, recovered) = ReplicaStorage::open(directory).expect("an intact data folder");
     let snapshot = recovered.snapshot.expect("a snapshot");
     let state = ControlState::decode(&snapshot.data).expect("a known format");
     assert_eq!(state.encode().expect("its own format"), *snapshot.data);
--- a/components/wire/tests/upgrade/encodings.rs
+++ b/components/wire/tests/upgrade/encodings.rs
@@ -119,7 +119,7 @@
     for (name, frame) in frames(version) {
         let mut bytes = BytesMut::from(recorded[name].as_slice());
         let decoded = FrameCodec::new(version).decode(&mut bytes);
-        assert_eq!(decoded.expect("a sound frame"), Some(frame), "{name}");
+        assert_eq!(decoded.expect("a valid frame"), Some(frame), "{name}");
         assert!(bytes.is_empty(), "{name}");
     }
 }
@@ -140,7 +140,7 @@
                     .into_iter()
                     .find(|(name, _)| *name == "control_current")
                     .expect("a sample");
-                assert_eq!(decoded.expect("a sound frame"), Some(without_suspects));
+                assert_eq!(decoded.expect("a valid frame"), Some(without_suspects));
             }
             "control_whole_changes" => assert!(result.is_err(), "{name}"),
             _ => {
--- a/components/wire/tests/upgrade/hello.rs
+++ b/components/wire/tests/upgrade/hello.rs
@@ -18,7 +18,7 @@
     let frame = FrameCodec::new(EncodingVersion(protocol))
         .decode(&mut bytes)
         .expect("a frame");
-    let accepted = check_hello(frame.expect("a whole frame")).expect("a known protocol");
+    let accepted = check_hello(frame.expect("a complete frame")).expect("a known protocol");
     assert_eq!(accepted.version, EncodingVersion(protocol));
     assert!(!accepted.awaits_welcome);
     let is_replica = matches!(accepted.sender, Sender::Replica { .. });
