--- a/components/control-shell/src/connections.rs
+++ b/components/control-shell/src/connections.rs
@@ -190,7 +190,7 @@
                     .borrow_mut()
                     .reported_addresses
                     .insert(id, address);
-                let _receiver_closed = self.events.send(Event::MemberOpened { id, version }).await;
+                let _events_closed = self.events.send(Event::MemberOpened { id, version }).await;
                 self.serve_peer(id, reader).await
             }
             FrameSender::Gateway(_) => self.serve_gateway(reader, writer).await,
@@ -202,10 +202,10 @@
             match frame {
                 // A replica may send messages only in its own name.
                 Frame::Peer(envelope) if envelope.from == id => {
-                    let _receiver_closed = self.events.send(Event::Peer(envelope)).await;
+                    let _events_closed = self.events.send(Event::Peer(envelope)).await;
                 }
                 Frame::Join(request) => {
-                    let _receiver_closed = self.events.send(Event::Join(request)).await;
+                    let _events_closed = self.events.send(Event::Join(request)).await;
                 }
                 _ => return Err(WireError::Malformed("not a peer's frame".to_owned())),
             }
@@ -226,11 +226,11 @@
             connection,
             version,
         };
-        let _receiver_closed = self.events.send(opened).await;
+        let _events_closed = self.events.send(opened).await;
         let writing = self.executor.spawn(write_queued(writer, replies));
         let outcome = self.receive_gateway_requests(connection, &mut reader).await;
         self.open.borrow_mut().gateways.remove(&connection);
-        let _receiver_closed = self.events.send(Event::GatewayClosed { connection }).await;
+        let _events_closed = self.events.send(Event::GatewayClosed { connection }).await;
         drop(writing);
         outcome
     }
@@ -248,7 +248,7 @@
                 connection,
                 request,
             };
-            let _receiver_closed = self.events.send(event).await;
+            let _events_closed = self.events.send(event).await;
         }
         Ok(())
     }
@@ -261,7 +261,7 @@
         let (sender, answers) = bounded(1);
         let ticket = self.next_id();
         self.open.borrow_mut().operators.insert(ticket, sender);
-        let _receiver_closed = self.events.send(Event::Operator { ticket, request }).await;
+        let _events_closed = self.events.send(Event::Operator { ticket, request }).await;
         let answer = async { answers.recv().await.ok() };
         let timeout = async {
             Timer::after(OPERATOR_TIMEOUT).await;
