--- a/components/consensus/src/membership.rs
+++ b/components/consensus/src/membership.rs
@@ -3,7 +3,8 @@
 //! Any majorities of two groups that differ by one voter have a member in
 //! common, so a change takes effect as soon as it is appended. The next change
 //! may start only when the previous one is committed and the leader has
-//! committed an entry of its own term (the 2015 correction to section 4.1).
+//! committed an entry of its own term (the 2015 correction to section 4.1 of the
+//! Raft dissertation).
 
 use garnet_types::{Millis, ReplicaId};
 
@@ -127,8 +128,8 @@
         next.voters().count() > 0 && next.has_quorum(|id| self.is_reachable(id))
     }
 
-    /// Whether a member acknowledged a message of the last two heartbeat
-    /// intervals. A longer window could count a member that has failed: a change
+    /// Whether a member acknowledged a message sent within the last two
+    /// heartbeat intervals. A longer window could count a member that has failed: a change
     /// that needs it could never be committed, but takes effect when proposed.
     fn is_reachable(&self, id: ReplicaId) -> bool {
         let heartbeat = self.config.heartbeat_interval;
--- a/components/consensus/src/progress.rs
+++ b/components/consensus/src/progress.rs
@@ -37,8 +37,8 @@
     }
 
     /// Whether the entries in flight are lost: the follower acknowledged a message
-    /// that was sent after them, or nothing for `silence`. Messages to one
-    /// follower arrive in order.
+    /// that was sent after them, or they were sent at least `silence` ago. Messages
+    /// to one follower arrive in order.
     pub fn has_lost_entries(&self, silence: Millis, now: Millis) -> bool {
         let has_unacknowledged = self.next_index > self.match_index + 1;
         let overtaken = self.acknowledged_at > Some(self.entries_sent_at);
--- a/components/consensus/tests/voting.rs
+++ b/components/consensus/tests/voting.rs
@@ -123,7 +123,7 @@
     assert!(request_vote(&mut node, request(SECOND, 6, 0, 0), after).0);
 }
 
-/// It may have acknowledged a heartbeat just before it stopped.
+/// The voter may have acknowledged a heartbeat just before it stopped.
 #[test]
 fn a_restarted_voter_waits_until_a_lease_has_expired() {
     let mut node = voter(HardState::default(), Vec::new());
--- a/components/runtime/src/connection_limit.rs
+++ b/components/runtime/src/connection_limit.rs
@@ -73,7 +73,7 @@
     }
 }
 
-/// Resets the connection, by a linger time of zero when the socket is closed.
+/// Sets the linger time to zero, so that closing the socket resets the connection.
 fn reset(stream: &TcpStream) {
     if let Err(error) = sockopt::set_socket_linger(stream, Some(Duration::ZERO)) {
         log::warn!(cause = error.to_string().as_str(); "not_reset");
--- a/components/runtime/src/control_link.rs
+++ b/components/runtime/src/control_link.rs
@@ -45,8 +45,8 @@
 }
 
 /// A child that keeps a connection to the leader and sends the queued requests.
-pub fn child<O: ControlLinkHandler>(
-    handler: O,
+pub fn child<H: ControlLinkHandler>(
+    handler: H,
     id: GatewayId,
     requests: Receiver<GatewayRequest>,
 ) -> ChildSpec {
@@ -71,8 +71,8 @@
     )
 }
 
-struct Link<O> {
-    handler: O,
+struct Link<H> {
+    handler: H,
     id: GatewayId,
     requests: Receiver<GatewayRequest>,
     position: usize,
@@ -81,7 +81,7 @@
     offers: VersionOffers,
 }
 
-impl<O: ControlLinkHandler> Link<O> {
+impl<H: ControlLinkHandler> Link<H> {
     async fn run(&mut self) {
         let mut hint: Option<String> = None;
         loop {
--- a/components/runtime/src/frames.rs
+++ b/components/runtime/src/frames.rs
@@ -148,7 +148,8 @@
         self.version = version;
     }
 
-    /// Sends a frame. A frame that the version lacks and can do without is skipped.
+    /// Sends a frame. An optional frame that the connection's version does not have is
+    /// skipped.
     ///
     /// # Errors
     /// When the frame can't be encoded or the connection failed.
--- a/components/runtime/src/pool.rs
+++ b/components/runtime/src/pool.rs
@@ -65,8 +65,8 @@
 pub struct ConnectionPool {
     executor: Rc<LocalExecutor<'static>>,
     settings: PoolSettings,
-    /// A clock that counts suspensions of this machine, as servers close idle
-    /// connections during them.
+    /// A clock that continues while this machine is suspended, as servers close
+    /// idle connections meanwhile.
     clock: Clock,
     idle: Rc<RefCell<HashMap<String, Vec<Idle>>>>,
 }
--- a/components/runtime/src/server.rs
+++ b/components/runtime/src/server.rs
@@ -79,7 +79,7 @@
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 /// Maximum count of errors while the accept queue is emptied during a stop.
 const MAX_ACCEPT_ERRORS: usize = 16;
-/// Maximum time that a stop waits for a request head from a caller that has just
+/// Maximum total time that a stop waits for a request head from a caller that has just
 /// connected or has sent a part of it. Allows for a round trip of the farthest
 /// callers and one lost packet.
 const LAST_HEAD_TIMEOUT: Duration = Duration::from_millis(500);
@@ -90,7 +90,8 @@
 
 /// Maximum size read of a body that is discarded: four times the default body limit.
 const MAX_DISCARDED_BYTES: usize = 16 * 1024 * 1024;
-/// Maximum time to read a discarded body. Callers don't wait longer for a first byte.
+/// Maximum time to read a discarded body. After it callers no longer wait for the first
+/// byte of the answer.
 const DISCARD_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// A listening server.
@@ -343,8 +344,8 @@
     }
 }
 
-/// Logs the error of a connection. Its caller may have missed a complete answer,
-/// which no other line reports.
+/// Logs the error of a connection, which affects no other connection. Its caller may
+/// have missed a complete answer, which no other line reports.
 fn log_connection_error(connection_timer: &ConnectionTimer, ended: hyper::Result<()>) {
     let Err(error) = ended else {
         return;
--- a/components/runtime/src/shell.rs
+++ b/components/runtime/src/shell.rs
@@ -24,7 +24,7 @@
     pub executor: Rc<LocalExecutor<'static>>,
     /// The clock.
     pub clock: Clock,
-    /// Signals received before the event loop runs.
+    /// Watches for signals from the start of the process; taken by [`Shell::run`].
     signals: Rc<RefCell<Option<WatchedSignals>>>,
 }
 
--- a/components/runtime/src/signal.rs
+++ b/components/runtime/src/signal.rs
@@ -10,7 +10,7 @@
 #[derive(Debug)]
 pub struct WatchedSignals {
     stops: Signals,
-    has_stopped: bool,
+    stop_received: bool,
     /// Held so that SIGHUP does not end the process. The reload child watches
     /// SIGHUP itself, and settings are read when it starts.
     _reloads: Signals,
@@ -24,16 +24,16 @@
     pub fn watch() -> io::Result<Self> {
         Ok(WatchedSignals {
             stops: Signals::new([Signal::Term, Signal::Int])?,
-            has_stopped: false,
+            stop_received: false,
             _reloads: Signals::new([Signal::Hup])?,
         })
     }
 
     /// Waits for SIGTERM or SIGINT, including one already received.
     pub async fn stop_requested(&mut self) {
-        if !self.has_stopped {
+        if !self.stop_received {
             self.stops.next().await;
-            self.has_stopped = true;
+            self.stop_received = true;
         }
     }
 
--- a/components/runtime/tests/clock.rs
+++ b/components/runtime/tests/clock.rs
@@ -12,8 +12,8 @@
 use garnet_types::Millis;
 use smol::LocalExecutor;
 
-/// Guards against clocks that stop while the machine is suspended, as the
-/// monotonic clock does. A leader with such a clock still took its lease for
+/// Guards against clocks that stop while the machine is suspended, possibly for
+/// seconds, as the monotonic clock does. A leader with such a clock still took its lease for
 /// valid when it resumed, so that two replicas held a lease at once (`OneLease`,
 /// in virtual time). Its clock also stayed behind the time of day, on which
 /// claims and usage windows are based.
@@ -22,14 +22,14 @@
     assert!(matches!(Clock::default().source(), TimeSource::BootTime));
 }
 
-/// The time of the test's clock that counts suspensions.
+/// The test's time, including suspensions.
 static COUNTED_MS: AtomicU64 = AtomicU64::new(0);
 
-fn counted() -> Duration {
+fn time_with_suspensions() -> Duration {
     Duration::from_millis(COUNTED_MS.load(Ordering::SeqCst))
 }
 
-fn stopped() -> Duration {
+fn stopped_time() -> Duration {
     Duration::ZERO
 }
 
@@ -41,8 +41,8 @@
 /// The monotonic timer alone would fire after an hour of running time.
 #[test]
 fn a_timer_that_expired_during_a_suspension_fires_at_once() {
-    let clock = Clock::new(TimeSource::Custom(counted));
-    let timers = Timers::with_monotonic(clock, TimeSource::Custom(stopped));
+    let clock = Clock::new(TimeSource::Custom(time_with_suspensions));
+    let timers = Timers::with_monotonic(clock, TimeSource::Custom(stopped_time));
     let due = clock.now() + Millis::from_secs(3600);
     smol::block_on(async {
         let mut waits = pin!(timers.sleep_until(due));
@@ -82,7 +82,8 @@
     address
 }
 
-/// The server has closed it long ago, and a request that fails on it may have run.
+/// The server closed the connection long ago, and a request that fails on it may
+/// have been executed.
 #[test]
 fn a_connection_idle_during_a_suspension_is_not_reused() {
     let address = start_server();
--- a/components/runtime/tests/early_signals.rs
+++ b/components/runtime/tests/early_signals.rs
@@ -1,7 +1,8 @@
 //! Guards against signals that end a process before it watches for them: of 20
-//! gateways that got SIGHUP 1 ms after their start 19 ended, and so could a
-//! replica that waits for disk space, at any time. The test signals its own
-//! process before its event loop runs; unwatched, either signal would end it.
+//! gateways that got SIGHUP 1 ms after their start, 19 ended. A replica that
+//! waits for disk space could be ended in the same way at any time. The test
+//! signals its own process before its event loop runs; unwatched, either signal
+//! would end it.
 
 use std::thread;
 use std::time::{Duration, Instant};
--- a/components/runtime/tests/planned_stop.rs
+++ b/components/runtime/tests/planned_stop.rs
@@ -5,9 +5,10 @@
 //! connected meanwhile, or just before while the event loop was busy, waited and
 //! were reset when the process ended.
 //!
-//! In a soak on processes 99 of 1,793 calls ended so, each on a new connection,
-//! 2.4 s or more after SIGTERM and unknown to every engine; the gateways logged
-//! `open_connections=9 unheard_connections=15` when they ended.
+//! In a soak test with real processes, 99 of 1,793 calls ended in this way, each
+//! on a new connection, 2.4 s or more after SIGTERM and unknown to every engine.
+//! When they ended, the gateways logged `open_connections=9
+//! unheard_connections=15`: 15 connections were still in the accept queue.
 
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpStream};
--- a/components/runtime/tests/version_offers.rs
+++ b/components/runtime/tests/version_offers.rs
@@ -18,7 +18,8 @@
     offers
 }
 
-/// A peer that refuses a version resets the connection while a frame is sent as often as it closes it cleanly.
+/// When a peer refuses a version, the connection is closed cleanly or, as often, reset
+/// while a frame is sent.
 #[rstest]
 #[case::refused(AT_ONCE, EncodingVersion::V16)]
 #[case::accepted(LATER, EncodingVersion::CURRENT)]
